--- a/Libraries/LibGateway/GenerationStream.cpp
+++ b/Libraries/LibGateway/GenerationStream.cpp
@@ -128,7 +128,7 @@
     }
     case CrashVerdict::Action::Wait:
         return m_session.onHeld(verdict.until, now);
-    case CrashVerdict::Action::Refuse:
+    case CrashVerdict::Action::Reject:
         break;
     }
     record(EventKind::CrashRefused);
@@ -159,7 +159,7 @@
     if (const auto *held = std::get_if<WaitUntil>(&decision)) {
         return m_session.onHeld(held->time, now);
     }
-    const auto &refused = std::get<RefuseRequest>(decision);
+    const auto &refused = std::get<RejectRequest>(decision);
     if (m_isSuspect && now - m_acceptedAt < m_options.caller.document->document.limits.queueWait) {
         // All usable targets run other suspects, which end or are cleared.
         return m_session.onHeld(now + SuspectPoll, now);
--- a/Libraries/LibPolicy/BaselinePolicy.cpp
+++ b/Libraries/LibPolicy/BaselinePolicy.cpp
@@ -27,7 +27,7 @@
     if (request.accepted) {
         return WaitUntil {now + options().pollTime};
     }
-    return RefuseRequest {.kind = anyLive ? ErrorKind::Overloaded : ErrorKind::TargetUnavailable, .retryAfter = std::chrono::seconds(1)};
+    return RejectRequest {.kind = anyLive ? ErrorKind::Overloaded : ErrorKind::TargetUnavailable, .retryAfter = std::chrono::seconds(1)};
 }
 
 TargetIndex BaselinePolicy::lowest(std::span<const TargetIndex> usable, uint64_t random, const std::function<double(TargetIndex)> &cost)
--- a/Libraries/LibPolicy/CrashSuspects.cpp
+++ b/Libraries/LibPolicy/CrashSuspects.cpp
@@ -79,13 +79,13 @@
             settled = std::max(settled, std::max(crashes[i]->time, crashes[j]->time) + m_options.settleTime);
             const auto until = std::min(crashes[i]->time, crashes[j]->time) + m_options.lifetime;
             if (!refusal || until > refusal->until) {
-                refusal = CrashVerdict {.action = CrashVerdict::Action::Refuse, .until = until};
+                refusal = CrashVerdict {.action = CrashVerdict::Action::Reject, .until = until};
             }
         }
     }
     if (!refusal && crashes.size() >= EnoughCrashes && isOnlyMemberOfAll(crashes)) {
         // No two crashes are disjoint, and yet nobody else was part of all of them.
-        refusal = CrashVerdict {.action = CrashVerdict::Action::Refuse, .until = now};
+        refusal = CrashVerdict {.action = CrashVerdict::Action::Reject, .until = now};
         for (const auto *crash : crashes) {
             settled = std::max(settled, crash->time + m_options.settleTime);
             refusal->until = std::max(refusal->until, crash->time + m_options.lifetime);
--- a/Libraries/LibPolicy/CrashSuspects.h
+++ b/Libraries/LibPolicy/CrashSuspects.h
@@ -39,8 +39,8 @@
         RunIsolated,
         // It was part of several crashes, and the others who were part of the last one are not known yet. Ask again at `until`.
         Wait,
-        // Refuse it with ErrorKind::RequestCrashesTargets until `until`.
-        Refuse,
+        // Reject it with ErrorKind::RequestCrashesTargets until `until`.
+        Reject,
     };
     Action action = Action::Run;
     MonotonicTime until;
--- a/Libraries/LibPolicy/MemoryForecastOptions.h
+++ b/Libraries/LibPolicy/MemoryForecastOptions.h
@@ -35,7 +35,7 @@
     // Order waiting requests by fair shares of their workspaces. Otherwise first come, first served within a class.
     bool fairShares = true;
     bool aging = true;
-    // Refuse a request whose wait would be too long.
+    // Reject a request whose wait would be too long.
     bool earlyRefusal = true;
     bool prefixHints = true;
     // Prefer near targets.
--- a/Libraries/LibPolicy/MemoryForecastPolicy.cpp
+++ b/Libraries/LibPolicy/MemoryForecastPolicy.cpp
@@ -315,7 +315,7 @@
     state.room().leave(request.id, lacksRoom ? WaitingOutcome::Refused : WaitingOutcome::Gone, now);
     state.roomMayHaveChanged = true;
     const double seconds = std::clamp(waitSeconds, ShortestRetry, LongestRetry) * (1 + RetrySpread * random.unit());
-    return RefuseRequest {.kind = kind, .retryAfter = std::chrono::seconds(static_cast<int64_t>(std::ceil(seconds)))};
+    return RejectRequest {.kind = kind, .retryAfter = std::chrono::seconds(static_cast<int64_t>(std::ceil(seconds)))};
 }
 
 // Splits what the target reported into this gateway's work and that of others.
--- a/Libraries/LibPolicy/PlacementTypes.h
+++ b/Libraries/LibPolicy/PlacementTypes.h
@@ -84,12 +84,12 @@
 };
 
 // Answer the caller with the error kind. The request was not run.
-struct RefuseRequest {
+struct RejectRequest {
     ErrorKind kind = ErrorKind::Overloaded;
     std::chrono::seconds retryAfter {1};
 };
 
-using PlacementDecision = std::variant<PlaceOnTarget, WaitUntil, RefuseRequest>;
+using PlacementDecision = std::variant<PlaceOnTarget, WaitUntil, RejectRequest>;
 
 // Why a placed generation ended without its last token.
 enum class FailureReason : uint8_t {
--- a/Libraries/LibRelayServer/RelayExchange.cpp
+++ b/Libraries/LibRelayServer/RelayExchange.cpp
@@ -94,7 +94,7 @@
     }
     m_digest = CrashSuspects::fingerprint(m_admission.workspace ? m_admission.workspace->name : "", m_request.head.target, m_request.body);
     const auto verdict = m_core.crashes.verdict(m_digest, now).action;
-    if (verdict == CrashVerdict::Action::Refuse || verdict == CrashVerdict::Action::Wait) {
+    if (verdict == CrashVerdict::Action::Reject || verdict == CrashVerdict::Action::Wait) {
         return RelayOutcome::CrashesTargets;
     }
     if (m_core.isDraining() && !DrainAdmission().admits(m_admission.demand, m_core.stopAt(), now)) {
--- a/Libraries/LibRelayServer/RelayExchangeMoves.cpp
+++ b/Libraries/LibRelayServer/RelayExchangeMoves.cpp
@@ -68,7 +68,7 @@
 bool RelayExchange::mayContinue(const RelayTarget &holder, MonotonicTime now)
 {
     // A generation that crashes the engines that run it must not go from one to the next.
-    if (m_unannouncedEnds > MostUnannouncedEnds || m_core.crashes.verdict(m_digest, now).action == CrashVerdict::Action::Refuse) {
+    if (m_unannouncedEnds > MostUnannouncedEnds || m_core.crashes.verdict(m_digest, now).action == CrashVerdict::Action::Reject) {
         return false;
     }
     const auto *known = m_core.targets.find(holder.id);
--- a/Tests/LibPolicy/TestBudgets.cpp
+++ b/Tests/LibPolicy/TestBudgets.cpp
@@ -125,7 +125,7 @@
     suspects.merge({.target = "b", .incarnation = 1, .members = {1, 4}, .running = 2}, Start + 10s);
     const auto later = Start + 10s + Settled;
     EXPECT_EQ(suspects.verdict(1, Start + 11s).action, Action::Wait);
-    EXPECT_EQ(suspects.verdict(1, later).action, Action::Refuse);
+    EXPECT_EQ(suspects.verdict(1, later).action, Action::Reject);
     EXPECT_EQ(suspects.verdict(1, later).until, Start + 600s);
     for (const uint64_t innocent : {2, 3, 4}) {
         EXPECT_EQ(suspects.verdict(innocent, later).action, Action::RunIsolated);
@@ -151,7 +151,7 @@
     EXPECT_EQ(here.verdict(1, Start + 2s + Settled).action, Action::RunIsolated);
     // A crash that it was alone in settles it.
     here.merge({.target = "c", .incarnation = 1, .members = {9}, .running = 1}, Start + 10s);
-    EXPECT_EQ(here.verdict(9, Start + 10s + Settled).action, Action::Refuse);
+    EXPECT_EQ(here.verdict(9, Start + 10s + Settled).action, Action::Reject);
     EXPECT_EQ(here.verdict(1, Start + 10s + Settled).action, Action::RunIsolated);
 }
 
--- a/Tests/LibPolicy/TestCrashSuspects.cpp
+++ b/Tests/LibPolicy/TestCrashSuspects.cpp
@@ -17,7 +17,7 @@
     EXPECT_EQ(suspects.verdict(1, start + 10s).action, CrashVerdict::Action::RunIsolated);
     suspects.merge({.target = "c", .incarnation = 1, .members = {1, 3, 4}, .running = 3}, start + 2s);
     EXPECT_EQ(suspects.verdict(1, start + 3s).action, CrashVerdict::Action::Wait);
-    EXPECT_EQ(suspects.verdict(1, start + 10s).action, CrashVerdict::Action::Refuse);
+    EXPECT_EQ(suspects.verdict(1, start + 10s).action, CrashVerdict::Action::Reject);
     for (const uint64_t innocent : {2, 3, 4}) {
         EXPECT_EQ(suspects.verdict(innocent, start + 10s).action, CrashVerdict::Action::RunIsolated);
     }
--- a/Tests/LibPolicy/TestMemoryForecast.cpp
+++ b/Tests/LibPolicy/TestMemoryForecast.cpp
@@ -147,7 +147,7 @@
     for (int i = 0; i < 400; ++i) {
         auto made = fixture.request("r" + std::to_string(i));
         const auto decision = fixture.policy->place(made, fixture.now, fixture.random.next());
-        if (const auto *refusal = std::get_if<RefuseRequest>(&decision)) {
+        if (const auto *refusal = std::get_if<RejectRequest>(&decision)) {
             ++refused;
             EXPECT_EQ(refusal->kind, ErrorKind::Overloaded);
             EXPECT_GE(refusal->retryAfter, 1s);
--- a/Tests/LibPolicy/TestProperties.cpp
+++ b/Tests/LibPolicy/TestProperties.cpp
@@ -227,7 +227,7 @@
         } else if (const auto *wait = std::get_if<WaitUntil>(&decision)) {
             asks.emplace(wait->time, made);
         } else {
-            asks.emplace(fixture.now + std::get<RefuseRequest>(decision).retryAfter, made);
+            asks.emplace(fixture.now + std::get<RejectRequest>(decision).retryAfter, made);
         }
     }
 
--- a/Utilities/PolicyBenchmark/Simulation/FleetSimulation.cpp
+++ b/Utilities/PolicyBenchmark/Simulation/FleetSimulation.cpp
@@ -171,7 +171,7 @@
             if (measured()) {
                 ++m_result.refused[indexOf(job.workClass)];
             }
-            const auto retry = std::get<RefuseRequest>(decision).retryAfter;
+            const auto retry = std::get<RejectRequest>(decision).retryAfter;
             if (++job.refusals > MostRefusals) {
                 if (measured()) {
                     ++m_result.givenUp[indexOf(job.workClass)];
