--- a/Libraries/LibPolicy/BaselinePolicy.cpp
+++ b/Libraries/LibPolicy/BaselinePolicy.cpp
@@ -30,7 +30,7 @@
     return RejectRequest {.kind = anyLive ? ErrorKind::Overloaded : ErrorKind::TargetUnavailable, .retryAfter = std::chrono::seconds(1)};
 }
 
-TargetIndex BaselinePolicy::lowest(std::span<const TargetIndex> usable, uint64_t random, const std::function<double(TargetIndex)> &cost)
+TargetIndex BaselinePolicy::lowestCostTarget(std::span<const TargetIndex> usable, uint64_t random, const std::function<double(TargetIndex)> &cost)
 {
     const size_t offset = random % usable.size();
     TargetIndex best = usable[offset];
--- a/Libraries/LibPolicy/BaselinePolicy.h
+++ b/Libraries/LibPolicy/BaselinePolicy.h
@@ -7,7 +7,7 @@
 namespace Jujube
 {
 
-// Common part of the baselines: they place at once on the best usable target and never make a request wait for room.
+// Common base of the baseline policies, which place a request at once on the best usable target. Only accepted requests wait, while no target is usable.
 class BaselinePolicy : public PlacementPolicy
 {
 public:
@@ -19,8 +19,8 @@
     // Chooses among at least one usable target.
     virtual TargetIndex choose(const PlacementRequest &request, std::span<const TargetIndex> usable, uint64_t random) = 0;
 
-    // The target with the lowest cost. Ties go to a random one, so that gateways with the same view do not all choose the same target.
-    static TargetIndex lowest(std::span<const TargetIndex> usable, uint64_t random, const std::function<double(TargetIndex)> &cost);
+    // The target with the lowest cost. Ties are broken at random, so that gateways with the same view do not all choose the same target.
+    static TargetIndex lowestCostTarget(std::span<const TargetIndex> usable, uint64_t random, const std::function<double(TargetIndex)> &cost);
 
 private:
     std::vector<TargetIndex> m_usable;
--- a/Libraries/LibPolicy/CrashSuspects.cpp
+++ b/Libraries/LibPolicy/CrashSuspects.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-// 21 machines fail on an ordinary day, so even a lost data centre within the lifetime stays in the low hundreds.
-constexpr size_t MostCrashes = 512;
+// 21 machines fail on an ordinary day. Even with the loss of a data centre, the crashes within the lifetime stay in the low hundreds.
+constexpr size_t MaxCrashes = 512;
 
-// Requests on one target from all gateways. More are not needed to tell crashes apart.
-constexpr size_t MostMembers = 256;
+// Requests of all gateways that are kept for one crash. More are not needed to tell crashes apart.
+constexpr size_t MaxMembers = 256;
 
-constexpr double UnnamedFactor = 1.25;
-constexpr size_t EnoughCrashes = 3;
+constexpr double UnknownRequestFactor = 1.25;
+constexpr size_t ConclusiveCrashes = 3;
 
 } // namespace
 
@@ -28,7 +28,7 @@
 
 uint64_t CrashSuspects::fingerprint(std::string_view workspace, std::string_view model, std::string_view bodyDigest)
 {
-    // Each part is hashed with the result of the previous one, so that the boundaries between the parts count.
+    // The hash of each part seeds the next one, so that the boundaries between the parts make a difference.
     uint64_t hash = XXH3_64bits(workspace.data(), workspace.size());
     hash = XXH3_64bits_withSeed(model.data(), model.size(), hash);
     return XXH3_64bits_withSeed(bodyDigest.data(), bodyDigest.size(), hash);
@@ -40,17 +40,17 @@
         return;
     }
     const Key key {report.target, report.incarnation};
-    if (m_crashes.size() >= MostCrashes && !m_crashes.contains(key)) {
+    if (m_crashes.size() >= MaxCrashes && !m_crashes.contains(key)) {
         m_crashes.erase(std::ranges::min_element(m_crashes, {}, [](const auto &entry) { return entry.second.time; }));
     }
     auto [entry, isNew] = m_crashes.try_emplace(key);
     auto &crash = entry->second;
-    // The ages of one crash differ between gateways by the travel time of the heartbeats; the earliest observation counts.
+    // The ages of one crash differ between gateways by the latency of the heartbeats. The earliest observation is used.
     const MonotonicTime time = now - report.age;
     crash.time = isNew ? time : std::min(crash.time, time);
     crash.running = std::max(crash.running, report.running);
     for (const auto member : report.members) {
-        if (crash.members.size() < MostMembers) {
+        if (crash.members.size() < MaxMembers) {
             crash.members.insert(member);
         }
     }
@@ -67,34 +67,34 @@
     if (crashes.empty()) {
         return {};
     }
-    std::optional<CrashVerdict> refusal;
+    std::optional<CrashVerdict> rejection;
     MonotonicTime settled = now;
     for (size_t i = 0; i < crashes.size(); ++i) {
         for (size_t j = i + 1; j < crashes.size(); ++j) {
-            // Of two crashes that both had requests which no gateway has named, one of those may have been in both. A third crash settles it.
-            const bool unclear = crashes.size() < EnoughCrashes && hasUnnamed(*crashes[i]) && hasUnnamed(*crashes[j]);
-            if (unclear || !haveNoneInCommon(*crashes[i], *crashes[j], fingerprint)) {
+            // If both crashes involved requests that no gateway has reported, one of these may have been part of both. A third crash resolves this.
+            const bool unclear = crashes.size() < ConclusiveCrashes && hasUnknownRequests(*crashes[i]) && hasUnknownRequests(*crashes[j]);
+            if (unclear || !shareNoOtherRequest(*crashes[i], *crashes[j], fingerprint)) {
                 continue;
             }
             settled = std::max(settled, std::max(crashes[i]->time, crashes[j]->time) + m_options.settleTime);
             const auto until = std::min(crashes[i]->time, crashes[j]->time) + m_options.lifetime;
-            if (!refusal || until > refusal->until) {
-                refusal = CrashVerdict {.action = CrashVerdict::Action::Reject, .until = until};
+            if (!rejection || until > rejection->until) {
+                rejection = CrashVerdict {.action = CrashVerdict::Action::Reject, .until = until};
             }
         }
     }
-    if (!refusal && crashes.size() >= EnoughCrashes && isOnlyMemberOfAll(crashes)) {
-        // No two crashes are disjoint, and yet nobody else was part of all of them.
-        refusal = CrashVerdict {.action = CrashVerdict::Action::Reject, .until = now};
+    if (!rejection && crashes.size() >= ConclusiveCrashes && isOnlyMemberOfAll(crashes)) {
+        // Every two crashes have another request in common, but no other request was part of all of them.
+        rejection = CrashVerdict {.action = CrashVerdict::Action::Reject, .until = now};
         for (const auto *crash : crashes) {
             settled = std::max(settled, crash->time + m_options.settleTime);
-            refusal->until = std::max(refusal->until, crash->time + m_options.lifetime);
+            rejection->until = std::max(rejection->until, crash->time + m_options.lifetime);
         }
     }
-    if (!refusal) {
+    if (!rejection) {
         return {.action = CrashVerdict::Action::RunIsolated, .until = {}};
     }
-    return settled > now ? CrashVerdict {.action = CrashVerdict::Action::Wait, .until = settled} : *refusal;
+    return settled > now ? CrashVerdict {.action = CrashVerdict::Action::Wait, .until = settled} : *rejection;
 }
 
 std::vector<TargetCrash> CrashSuspects::reports(size_t count, MonotonicTime now) const
@@ -120,7 +120,6 @@
     std::erase_if(m_crashes, [&](const auto &entry) { return now - entry.second.time >= m_options.lifetime; });
 }
 
-// True if no other request can have caused both crashes, as far as is known.
 bool CrashSuspects::isOnlyMemberOfAll(const std::vector<const Crash *> &crashes)
 {
     const auto inAll
@@ -128,15 +127,17 @@
     return std::ranges::count_if(crashes.front()->members, inAll) == 1;
 }
 
-bool CrashSuspects::haveNoneInCommon(const Crash &left, const Crash &right, uint64_t fingerprint) const
+// True if no other known request can have caused both crashes.
+bool CrashSuspects::shareNoOtherRequest(const Crash &left, const Crash &right, uint64_t fingerprint) const
 {
     return std::ranges::none_of(left.members, [&](uint64_t member) { return member != fingerprint && right.members.contains(member); });
 }
 
-// True if clearly more requests ran than gateways have named. The reported number lags behind, so a small difference means nothing.
-bool CrashSuspects::hasUnnamed(const Crash &crash) const
+// True if clearly more requests ran than gateways have reported fingerprints of. The number of running requests is from the last load report and out of date,
+// so a small difference is ignored.
+bool CrashSuspects::hasUnknownRequests(const Crash &crash) const
 {
-    return crash.running > 1 + UnnamedFactor * static_cast<double>(crash.members.size());
+    return crash.running > 1 + UnknownRequestFactor * static_cast<double>(crash.members.size());
 }
 
 } // namespace Jujube
--- a/Libraries/LibPolicy/CrashSuspects.h
+++ b/Libraries/LibPolicy/CrashSuspects.h
@@ -15,29 +15,29 @@
 
 struct CrashSuspectsOptions {
     std::chrono::seconds lifetime {600};
-    // Other gateways had requests on the same target. Their part of the company arrives with their heartbeats within this time.
+    // Within this time, the heartbeats of other gateways report which of their requests ran on the crashed target.
     std::chrono::milliseconds settleTime {2500};
 };
 
-// One crash of a target as one gateway saw it, as it is carried in heartbeats.
+// One crash of a target as one gateway observed it. Heartbeats carry it to the gateway's peers.
 struct TargetCrash {
     std::string target;
     uint64_t incarnation = 0;
     std::chrono::milliseconds age {0};
-    // Fingerprints of this gateway's requests that ran on the target when it died.
+    // Fingerprints of this gateway's requests that ran on the target when it crashed.
     std::vector<uint64_t> members;
     // Requests that ran on the target according to its last load report, from all gateways.
     int running = 0;
 };
 
-// What may be done with a request.
+// Whether and how a request may run.
 struct CrashVerdict {
     enum class Action : uint8_t {
-        // Nothing is known against it.
+        // It was part of no known crash.
         Run,
-        // It was part of a crash: run it alone or in a small group.
+        // It was running on a target that crashed. Run it alone or next to few other requests.
         RunIsolated,
-        // It was part of several crashes, and the others who were part of the last one are not known yet. Ask again at `until`.
+        // It was part of several crashes, and the other requests in the last one may not be known yet. Check again at `until`.
         Wait,
         // Reject it with ErrorKind::RequestCrashesTargets until `until`.
         Reject,
@@ -46,17 +46,17 @@
     MonotonicTime until;
 };
 
-// Finds requests that crash every target that runs them. A request is refused after two crashes that have no other request in common, which includes a crash
-// that it was alone in; innocent requests that shared a target with it are still served.
+// Finds poison requests, which crash every target that runs them. A request is rejected after two crashes that have no other request in common, for example if
+// it ran alone in one of them, and after three crashes of which it is the only common request. Innocent requests that shared a target with it are still served.
 class CrashSuspects
 {
 public:
     explicit CrashSuspects(const CrashSuspectsOptions &options = {});
 
-    // Digest of what makes two requests the same: the workspace, the model and the digest of the body.
+    // Digest of what identifies a request: the workspace, the model and the digest of the body.
     static uint64_t fingerprint(std::string_view workspace, std::string_view model, std::string_view bodyDigest);
 
-    // Takes in a crash that this gateway saw, or one from a heartbeat. Reports of the same target and incarnation are parts of the same crash.
+    // Records a crash that this gateway observed or received in a heartbeat. Reports of the same target and incarnation describe the same crash.
     void merge(const TargetCrash &report, MonotonicTime now);
 
     CrashVerdict verdict(uint64_t fingerprint, MonotonicTime now) const;
@@ -64,7 +64,7 @@
     // The newest crashes, for the next heartbeat, with all members that are known.
     std::vector<TargetCrash> reports(size_t count, MonotonicTime now) const;
 
-    // Forgets what is too old. Called now and then; an expired crash has no effect in the meantime.
+    // Removes expired crashes to free memory. They have no effect even before they are removed.
     void expire(MonotonicTime now);
 
 private:
@@ -75,10 +75,10 @@
         int running = 0;
     };
 
-    bool haveNoneInCommon(const Crash &left, const Crash &right, uint64_t fingerprint) const;
-    // Whether a single request was part of all of the crashes.
+    bool shareNoOtherRequest(const Crash &left, const Crash &right, uint64_t fingerprint) const;
+    // True if exactly one request was part of all crashes.
     static bool isOnlyMemberOfAll(const std::vector<const Crash *> &crashes);
-    bool hasUnnamed(const Crash &crash) const;
+    bool hasUnknownRequests(const Crash &crash) const;
 
     CrashSuspectsOptions m_options;
     std::map<Key, Crash> m_crashes;
--- a/Libraries/LibPolicy/DecayingHistogram.cpp
+++ b/Libraries/LibPolicy/DecayingHistogram.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-const double LongestLength = std::exp2(static_cast<double>(LengthBins) / LengthBinsPerDoubling);
+const double MaxLength = std::exp2(static_cast<double>(LengthBins) / LengthBinsPerDoubling);
 
 } // namespace
 
@@ -22,16 +22,16 @@
 }
 
 DecayingHistogram::DecayingHistogram()
-    : m_histogram(std::make_tuple(Axis(LengthBins, 1.0, LongestLength)))
+    : m_histogram(std::make_tuple(Axis(LengthBins, 1.0, MaxLength)))
 {
 }
 
 void DecayingHistogram::add(double tokens, double weight, MonotonicTime now, std::chrono::duration<double> halfLife, double maxObservations)
 {
     discount(now, halfLife);
-    // The last bin also takes what is longer than the axis.
-    m_histogram(std::clamp(tokens, 1.0, LongestLength * 0.999), boost::histogram::weight(weight));
-    finish(maxObservations);
+    // Lengths beyond the axis are counted in the last bin.
+    m_histogram(std::clamp(tokens, 1.0, MaxLength * 0.999), boost::histogram::weight(weight));
+    rebuildTails(maxObservations);
 }
 
 void DecayingHistogram::addCensored(double position, MonotonicTime now, std::chrono::duration<double> halfLife, double maxObservations)
@@ -48,7 +48,7 @@
     for (int bin = first + 1; bin < LengthBins; ++bin) {
         m_histogram.at(bin) *= factor;
     }
-    finish(maxObservations);
+    rebuildTails(maxObservations);
 }
 
 double DecayingHistogram::tail(double position) const
@@ -78,7 +78,7 @@
     m_updated = std::max(m_updated, now);
 }
 
-void DecayingHistogram::finish(double maxObservations)
+void DecayingHistogram::rebuildTails(double maxObservations)
 {
     double sum = 0;
     for (int bin = LengthBins - 1; bin >= 0; --bin) {
--- a/Libraries/LibPolicy/DecayingHistogram.h
+++ b/Libraries/LibPolicy/DecayingHistogram.h
@@ -24,15 +24,15 @@
     // Adds an observation after discounting the older ones by their age and, if there are more than `maxObservations`, by their number.
     void add(double tokens, double weight, MonotonicTime now, std::chrono::duration<double> halfLife, double maxObservations);
 
-    // Adds an answer that ended early, of which only a lower bound of the length is known. Its weight goes to the longer lengths in proportion to what is
-    // known about them, as in the estimator of Kaplan and Meier; leaving it out would make lengths look shorter than they are.
+    // Adds a generation that ended early, so that only a lower bound of its length is known (a censored observation). Its weight is distributed over the
+    // greater lengths in proportion to their observed weights, as in the estimator of Kaplan and Meier. Leaving it out would underestimate the lengths.
     void addCensored(double position, MonotonicTime now, std::chrono::duration<double> halfLife, double maxObservations);
 
     // Weight of the observations longer than the length at the position.
     double tail(double position) const;
     double total() const;
 
-    // Weight that is left at a later time.
+    // Share of the weight that is left at a later time.
     double remainingAt(MonotonicTime now, std::chrono::duration<double> halfLife) const;
 
 private:
@@ -40,7 +40,7 @@
     using Histogram = boost::histogram::histogram<std::tuple<Axis>, boost::histogram::dense_storage<double>>;
 
     void discount(MonotonicTime now, std::chrono::duration<double> halfLife);
-    void finish(double maxObservations);
+    void rebuildTails(double maxObservations);
 
     Histogram m_histogram;
     // Sum of the bins from each one to the end.
--- a/Libraries/LibPolicy/FairShare.cpp
+++ b/Libraries/LibPolicy/FairShare.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-// Workspaces that are behind the virtual time carry no information; they are forgotten when the map has grown to this size.
+// A workspace that is behind the virtual time is treated like a new one. Such workspaces are removed when the map has grown to this size.
 constexpr size_t MaxWorkspaces = 4096;
 
 } // namespace
 
-double FairShare::enter(std::string_view workspace, double cost)
+double FairShare::startTag(std::string_view workspace, double cost)
 {
     if (m_finish.size() >= MaxWorkspaces) {
         absl::erase_if(m_finish, [this](const auto &entry) { return entry.second <= m_virtualTime; });
--- a/Libraries/LibPolicy/FairShare.h
+++ b/Libraries/LibPolicy/FairShare.h
@@ -7,18 +7,18 @@
 namespace Jujube
 {
 
-// Start-time fair queueing (Goyal, Vin and Cheng, 1996): orders the requests of several workspaces so that each gets the same share of the service, whatever
-// it asks for. A workspace that was idle starts level with the others and does not save up a claim.
+// Start-time fair queueing (Goyal, Vin and Cheng, 1996): orders the requests of several workspaces so that each gets the same share of the service, however
+// much it requests. A workspace that was idle accumulates no credit: it starts at the current virtual time.
 class FairShare
 {
 public:
     // Start tag of a new request. Lower tags are served first.
-    double enter(std::string_view workspace, double cost);
+    double startTag(std::string_view workspace, double cost);
 
-    // The request with this tag is being served.
+    // Advances the virtual time to the tag of a request that is being served.
     void served(double tag);
 
-    // A request that got a tag is not served after all.
+    // Gives back the cost of a request that got a tag but is not served.
     void refund(std::string_view workspace, double cost);
 
 private:
--- a/Libraries/LibPolicy/FleetView.cpp
+++ b/Libraries/LibPolicy/FleetView.cpp
@@ -7,8 +7,8 @@
 namespace Jujube
 {
 
-FleetView::FleetView(ReturnRampOptions ramp)
-    : m_rampOptions(std::move(ramp))
+FleetView::FleetView(SlowStartOptions slowStart)
+    : m_slowStartOptions(std::move(slowStart))
 {
 }
 
@@ -44,7 +44,7 @@
     const auto index = known->second;
     removeFromIndex(index);
     m_live[index] = false;
-    // Own work that still runs there refers to the slot.
+    // While own generations run on the target, they refer to the slot. removeOwn() then frees it.
     if (m_targets[index].ownRunning == 0) {
         m_free.push_back(index);
     }
@@ -59,7 +59,7 @@
     }
     dataCentre.out = out;
     if (!out) {
-        dataCentre.ramp.start(now);
+        dataCentre.slowStart.start(now);
     }
 }
 
@@ -69,7 +69,7 @@
     if (target == nullptr || incarnation < target->vmIncarnation) {
         return;
     }
-    // The list lags behind, so a target that was seen leaving does not become live again under the same incarnation.
+    // The list may be out of date, so a target that was once leaving does not become live again under the same incarnation.
     target->leavingByVmList = leaving || (target->leavingByVmList && incarnation == target->vmIncarnation);
     target->vmIncarnation = incarnation;
 }
@@ -94,7 +94,7 @@
     }
     target->leavingByReport = report.leaving || (target->leavingByReport && sameIncarnation);
     if (sameIncarnation && report.preemptions > target->load.preemptions) {
-        m_dataCentres[target->dataCentre].ramp.noteTrouble(now);
+        m_dataCentres[target->dataCentre].slowStart.recordFailure(now);
     }
     target->load = report;
     target->hasReport = true;
@@ -149,7 +149,7 @@
         return;
     }
     target->load.cold = true;
-    // Reports taken before this moment, which still call the target warm, arrive late.
+    // Load reports that were measured earlier and show the target warm may still arrive. The later time makes them out of date.
     target->loadTakenAt = std::max(target->loadTakenAt, now);
 }
 
@@ -168,15 +168,15 @@
     if (!mayBeCold(index, now)) {
         return true;
     }
-    // Everything that the target reports counts against the limit, and so does what was sent since: a permit says that the slot is free, the report says
-    // whether excess work from before the target turned cold is still running.
+    // All requests in the load report and all requests placed since then count against the limit. A permit shows that a slot is free. The load report also
+    // shows whether excess requests from before the target became cold are still running.
     const int known = std::max(target.load.running + target.load.waiting + target.ownSinceReport, target.ownRunning);
     return target.ownRunning < target.coldPermits && known < target.description.coldLimit;
 }
 
-double FleetView::returnShare(TargetIndex index, MonotonicTime now) const
+double FleetView::slowStartShare(TargetIndex index, MonotonicTime now) const
 {
-    return m_dataCentres[m_targets[index].dataCentre].ramp.share(now);
+    return m_dataCentres[m_targets[index].dataCentre].slowStart.share(now);
 }
 
 std::optional<TargetIndex> FleetView::find(std::string_view name) const
@@ -223,7 +223,7 @@
 {
     const auto known = std::ranges::find(m_dataCentres, name, &DataCentreView::name);
     if (known == m_dataCentres.end()) {
-        m_dataCentres.push_back({.name = std::string(name), .region = std::string(region), .out = false, .ramp = ReturnRamp(m_rampOptions)});
+        m_dataCentres.push_back({.name = std::string(name), .region = std::string(region), .out = false, .slowStart = SlowStart(m_slowStartOptions)});
         return static_cast<uint32_t>(m_dataCentres.size() - 1);
     }
     if (!region.empty()) {
--- a/Libraries/LibPolicy/ForecastMoments.cpp
+++ b/Libraries/LibPolicy/ForecastMoments.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-// Keeps the division defined where nothing is uncertain. One token squared.
-constexpr double LeastVariance = 1.0;
+// Avoids a division by zero where nothing is uncertain. In tokens squared.
+constexpr double MinVariance = 1.0;
 
 } // namespace
 
@@ -43,7 +43,7 @@
     double margin = std::numeric_limits<double>::infinity();
     for (size_t step = 0; step < ForecastStepCount; ++step) {
         const double mean = present.mean[step] + added.mean[step];
-        const double variance = std::max(present.variance[step] + added.variance[step], LeastVariance);
+        const double variance = std::max(present.variance[step] + added.variance[step], MinVariance);
         margin = std::min(margin, (limit - mean) / std::sqrt(variance));
     }
     return margin;
--- a/Libraries/LibPolicy/ForecastMoments.h
+++ b/Libraries/LibPolicy/ForecastMoments.h
@@ -35,11 +35,11 @@
 // Memory that does not change.
 ForecastMoments constantMoments(double memory);
 
-// Highest mean over all steps.
+// Maximum mean over all steps.
 double peakMean(const ForecastMoments &moments);
 
-// Smallest distance between mean and limit over all steps, in standard deviations: the memory of many independent generations is close to normally
-// distributed. Negative if a mean is above the limit.
+// Minimum distance between mean and limit over all steps, in standard deviations. Negative if a mean is above the limit. The memory of many independent
+// generations is close to normally distributed, so this determines the probability of an overflow.
 double overflowMargin(const ForecastMoments &present, const ForecastMoments &added, double limit);
 
 // Probability of an overflow for a margin in standard deviations.
--- a/Libraries/LibPolicy/HedgePolicy.cpp
+++ b/Libraries/LibPolicy/HedgePolicy.cpp
@@ -11,15 +11,15 @@
 namespace
 {
 
-// The logarithmic axis starts at one unit and ends at 2^17 units, which is 13 s.
+// Unit of durations in the histogram. Its logarithmic axis starts at one unit and ends at 2^17 units, which is 13 s.
 constexpr double UnitsPerSecond = 10000;
 constexpr double UnitsPerMs = UnitsPerSecond / 1000;
 
 constexpr std::chrono::seconds DurationHalfLife {60};
-constexpr double MostObservations = 1000;
+constexpr double MaxObservations = 1000;
 
-// Calls are declared in the environment document, which has a few dozen.
-constexpr size_t MostCalls = 1024;
+// Calls are declared in the environment document, which has a few dozen of them.
+constexpr size_t MaxCalls = 1024;
 
 } // namespace
 
@@ -35,7 +35,7 @@
         return std::nullopt;
     }
     const auto &durations = known->second;
-    if (durations.total() * durations.remainingAt(now, DurationHalfLife) < m_options.leastObservations) {
+    if (durations.total() * durations.remainingAt(now, DurationHalfLife) < m_options.minObservations) {
         return std::nullopt;
     }
     int bin = 0;
@@ -43,7 +43,7 @@
         ++bin;
     }
     const double units = std::exp2(static_cast<double>(bin) / LengthBinsPerDoubling);
-    return std::max(std::chrono::milliseconds(static_cast<int64_t>(std::ceil(units / UnitsPerMs))), m_options.shortestDelay);
+    return std::max(std::chrono::milliseconds(static_cast<int64_t>(std::ceil(units / UnitsPerMs))), m_options.minDelay);
 }
 
 bool HedgePolicy::tryHedge(bool repeatable)
@@ -55,13 +55,13 @@
     return true;
 }
 
-void HedgePolicy::answered(std::string_view call, std::chrono::duration<double> duration, MonotonicTime now)
+void HedgePolicy::recordDuration(std::string_view call, std::chrono::duration<double> duration, MonotonicTime now)
 {
-    m_available = std::min(m_available + m_options.share, m_options.mostSaved);
-    if (m_durations.size() >= MostCalls) {
+    m_available = std::min(m_available + m_options.share, m_options.maxSaved);
+    if (m_durations.size() >= MaxCalls) {
         m_durations.clear();
     }
-    m_durations[toAbsl(call)].add(duration.count() * UnitsPerSecond, 1.0, now, DurationHalfLife, MostObservations);
+    m_durations[toAbsl(call)].add(duration.count() * UnitsPerSecond, 1.0, now, DurationHalfLife, MaxObservations);
 }
 
 } // namespace Jujube
--- a/Libraries/LibPolicy/LeastOutstandingPolicy.cpp
+++ b/Libraries/LibPolicy/LeastOutstandingPolicy.cpp
@@ -5,7 +5,7 @@
 
 TargetIndex LeastOutstandingPolicy::choose(const PlacementRequest &, std::span<const TargetIndex> usable, uint64_t random)
 {
-    return lowest(usable, random, [this](TargetIndex index) { return fleet().target(index).ownRunning; });
+    return lowestCostTarget(usable, random, [this](TargetIndex index) { return fleet().target(index).ownRunning; });
 }
 
 } // namespace Jujube
--- a/Libraries/LibPolicy/LeastOutstandingPolicy.h
+++ b/Libraries/LibPolicy/LeastOutstandingPolicy.h
@@ -5,7 +5,7 @@
 namespace Jujube
 {
 
-// Takes the target with the fewest requests of this gateway in progress.
+// Chooses the target with the fewest outstanding requests of this gateway.
 class LeastOutstandingPolicy : public BaselinePolicy
 {
 public:
--- a/Libraries/LibPolicy/LeastReportedMemoryPolicy.cpp
+++ b/Libraries/LibPolicy/LeastReportedMemoryPolicy.cpp
@@ -7,7 +7,7 @@
 
 TargetIndex LeastReportedMemoryPolicy::choose(const PlacementRequest &, std::span<const TargetIndex> usable, uint64_t random)
 {
-    return lowest(usable, random, [this](TargetIndex index) {
+    return lowestCostTarget(usable, random, [this](TargetIndex index) {
         const auto &target = fleet().target(index);
         return static_cast<double>(target.load.memoryUsed) / static_cast<double>(std::max<int64_t>(target.memoryLimit(), 1));
     });
--- a/Libraries/LibPolicy/LeastReportedMemoryPolicy.h
+++ b/Libraries/LibPolicy/LeastReportedMemoryPolicy.h
@@ -5,7 +5,7 @@
 namespace Jujube
 {
 
-// Takes the target that reported the smallest share of its memory in use.
+// Chooses the target that reported the smallest share of its memory in use.
 class LeastReportedMemoryPolicy : public BaselinePolicy
 {
 public:
--- a/Libraries/LibPolicy/LengthEstimator.cpp
+++ b/Libraries/LibPolicy/LengthEstimator.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-// 550 workspaces, 7 models and 2 kinds need 7,700; the rest is slack for workspaces that come and go. One takes about 1.2 KB.
+// 550 workspaces, 7 models and 2 kinds need 7,700 histograms. The rest allows for workspaces that are added and removed. A histogram takes about 1.2 KB.
 constexpr size_t MaxHistograms = 10000;
 
-// A distribution with less weight than this is forgotten when room is needed, and a tail below it says nothing.
+// A histogram with less weight than this is removed when the maximum number is reached. A tail with less weight is not used in a forecast.
 constexpr double NegligibleWeight = 0.05;
 
-// Below this share of the prior the histogram of the prior is too coarse to be conditioned on.
+// If less than this share of the prior lies above the tokens already produced, its histogram is too coarse to be conditioned on them.
 constexpr double NegligibleTail = 1e-9;
 
 // Separates the parts of a key. It does not occur in names of models and workspaces.
@@ -66,15 +66,15 @@
 {
 }
 
-void LengthEstimator::finished(const LengthKey &key, int64_t tokens, MonotonicTime now)
+void LengthEstimator::addFinished(const LengthKey &key, int64_t tokens, MonotonicTime now)
 {
-    makeRoom(now);
+    evictStale(now);
     for (const auto &name : {modelKey(key.model), kindKey(key), workspaceKey(key)}) {
         m_histograms[name].add(static_cast<double>(tokens), 1.0, now, m_options.halfLife, m_options.maxObservations);
     }
 }
 
-void LengthEstimator::cutOff(const LengthKey &key, int64_t tokens, MonotonicTime now)
+void LengthEstimator::addCensored(const LengthKey &key, int64_t tokens, MonotonicTime now)
 {
     const double position = lengthPosition(static_cast<double>(tokens));
     for (const auto &name : {modelKey(key.model), kindKey(key), workspaceKey(key)}) {
@@ -94,7 +94,7 @@
     }
     StepValues values;
     for (size_t step = 0; step < ForecastStepCount; ++step) {
-        // Beyond all observations a generation is assumed to go on for about as long as it has already gone on.
+        // Without any observations, a generation is assumed to continue for about as long as it has already run.
         const double known = static_cast<double>(std::max<int64_t>(produced, 1));
         values[step] = known / (known + ForecastSteps[step]);
     }
@@ -186,7 +186,7 @@
     return (histogram->tail(position) * discount + m_options.shrinkage * assumed) / (observations + m_options.shrinkage);
 }
 
-void LengthEstimator::makeRoom(MonotonicTime now)
+void LengthEstimator::evictStale(MonotonicTime now)
 {
     if (m_histograms.size() < MaxHistograms) {
         return;
@@ -194,7 +194,7 @@
     absl::erase_if(m_histograms,
                    [&](const auto &entry) { return entry.second.total() * entry.second.remainingAt(now, m_options.halfLife) < NegligibleWeight; });
     if (m_histograms.size() >= MaxHistograms) {
-        // Learning starts again rather than letting memory grow; the priors and the next few hundred answers bridge the gap.
+        // Learning starts again to bound the memory. The priors are used until a few hundred generations have been observed.
         m_histograms.clear();
     }
 }
--- a/Libraries/LibPolicy/LengthEstimatorOptions.h
+++ b/Libraries/LibPolicy/LengthEstimatorOptions.h
@@ -6,7 +6,7 @@
 {
 
 struct LengthEstimatorOptions {
-    // Time after which an observation counts half.
+    // Time after which the weight of an observation is halved.
     std::chrono::seconds halfLife {900};
     // Observations beyond this number displace old ones even within the half-life.
     double maxObservations = 4000;
--- a/Libraries/LibPolicy/MemoryForecastMoves.cpp
+++ b/Libraries/LibPolicy/MemoryForecastMoves.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Moving reads the whole text again on the new target, so a target that is about to overflow is relieved one generation at a time.
+// A move repeats the prefill of the whole text on the new target, so only one generation at a time is moved off a target that is about to overflow.
 constexpr size_t MovesPerCall = 1;
 
 } // namespace
@@ -33,14 +33,15 @@
 {
     const auto &target = fleet().target(index);
     const bool mustMove = target.isLeaving() || (target.hasReport && target.load.cold);
-    size_t count = movesNeeded(index);
-    // Every gateway with work on the target sees the same danger. On average one of them acts.
+    size_t count = maxMoves(index);
+    // Every gateway with work on the target detects the same risk. Each acts with a probability equal to its share of the running requests, so that on average
+    // one of them does.
     const double part = static_cast<double>(target.ownRunning) / std::max({target.load.running, target.ownRunning, 1});
     if (count == 0 || (!mustMove && random.unit() > part)) {
         return;
     }
     std::vector<const OwnGeneration *> candidates(ownOn(index).begin(), ownOn(index).end());
-    // The least important class goes first; within a class the one with the least text, which is cheapest to read again.
+    // The least important class is moved first. Within a class, the generation with the least text is first, because its prefill is the cheapest to repeat.
     std::ranges::sort(candidates, [](const OwnGeneration *left, const OwnGeneration *right) {
         return std::make_tuple(right->workClass, left->memory(), std::string_view(left->id))
             < std::make_tuple(left->workClass, right->memory(), std::string_view(right->id));
@@ -49,19 +50,19 @@
         if (count == 0) {
             return;
         }
-        if (!mustMove && !isInDanger(*generation, now)) {
+        if (!mustMove && !isLikelyPreempted(*generation, now)) {
             continue;
         }
         const auto better = betterTarget(*generation, now, random);
-        if (better && (mustMove || better->comfortable)) {
+        if (better && (mustMove || better->isLowRisk)) {
             advice.push_back({.id = generation->id, .target = fleet().target(better->target).description.name, .workClass = generation->workClass});
             --count;
         }
     }
 }
 
-// Most own generations that leave the target in one call.
-size_t MemoryForecastPolicy::movesNeeded(TargetIndex index) const
+// Maximum number of own generations to move off the target in one call.
+size_t MemoryForecastPolicy::maxMoves(TargetIndex index) const
 {
     const auto &target = fleet().target(index);
     const size_t own = ownOn(index).size();
@@ -75,13 +76,13 @@
     return std::min(own, MovesPerCall);
 }
 
-// True if the target probably preempts work of this class. Less important work is preempted first, so it does not count.
-bool MemoryForecastPolicy::isInDanger(const OwnGeneration &generation, MonotonicTime now)
+// True if the target will probably preempt work of the generation's class. Less important work is preempted first, so it is not included.
+bool MemoryForecastPolicy::isLikelyPreempted(const OwnGeneration &generation, MonotonicTime now)
 {
     Need need;
     need.workClass = generation.workClass;
-    allowClass(need, false, model(generation.model));
-    const auto contenders = protectedOn(generation.target, need, now);
+    setAdmissionClass(need, false, model(generation.model));
+    const auto contenders = protectedForecastOn(generation.target, need, now);
     const auto limit = static_cast<double>(fleet().target(generation.target).memoryLimit());
     return overflowProbability(overflowMargin(contenders, {}, limit)) > settings().moveProbability;
 }
@@ -106,7 +107,7 @@
     };
     auto need = needOf(request, now);
     auto &state = model(generation.model);
-    allowClass(need, false, state);
+    setAdmissionClass(need, false, state);
     const auto choice = choose(request, need, state, now, random);
     return choice && choice->fits ? choice : std::nullopt;
 }
--- a/Libraries/LibPolicy/MemoryForecastPolicy.cpp
+++ b/Libraries/LibPolicy/MemoryForecastPolicy.cpp
@@ -9,30 +9,32 @@
 namespace
 {
 
-// A forecast of an own generation is renewed after this many tokens: half of the first forecast step.
+// The forecast of an own generation is renewed after this many tokens, which is half of the forecast step of 64 tokens.
 constexpr int64_t TokensPerForecast = 32;
 
-// Surveys follow load reports at this interval. A decision makes one only if there were no reports for a while.
+// Minimum interval between surveys that load reports trigger. A decision makes a survey only if the last one is older than MaxSurveyAge, which means that no
+// reports arrived.
 constexpr std::chrono::milliseconds SurveyInterval {250};
-constexpr std::chrono::seconds OldestSurvey {2};
+constexpr std::chrono::seconds MaxSurveyAge {2};
 
-// Requests that takeReady() names at once per model. The gateway calls again after it has placed them.
-constexpr size_t ReadyAtOnce = 8;
+// Maximum number of requests per model that takeReady() returns. The gateway calls it again after it has placed them.
+constexpr size_t MaxReadyRequests = 8;
 
-// Bounds of a Retry-After, and the part of it by which it is spread so that callers do not all come back at once.
-constexpr double ColdRetry = 5; // seconds
-constexpr double ShortestRetry = 1;
-constexpr double LongestRetry = 120;
-constexpr double RetrySpread = 0.25;
+// Maximum wait estimate while a target is cold, bounds of a Retry-After, and the maximum jitter as a share of the delay, so that callers do not all retry at
+// once.
+constexpr double ColdRetrySeconds = 5;
+constexpr double MinRetrySeconds = 1;
+constexpr double MaxRetrySeconds = 120;
+constexpr double RetryJitter = 0.25;
 
-// When no target is in service there is nothing to estimate the end of it from.
-constexpr double NoTargetRetry = 2;
+// Retry-After while no target is in service, when there is nothing to estimate the wait from.
+constexpr double NoTargetRetrySeconds = 2;
 
-// After this part of the longest wait, the estimate of the rest is believed even if nothing is ahead.
-constexpr double SurePart = 0.25;
+// After this share of the maximum wait, the estimate of the remaining wait is used even if no other request is ahead.
+constexpr double TrustedWaitShare = 0.25;
 
-// Longest time between two asks of a waiting request.
-constexpr std::chrono::duration<double> LongestPoll {1};
+// Maximum time between two placement attempts of a waiting request.
+constexpr std::chrono::duration<double> MaxPollInterval {1};
 
 bool isTrial(WorkClass workClass)
 {
@@ -65,7 +67,7 @@
 void MemoryForecastPolicy::abandoned(std::string_view id, MonotonicTime now)
 {
     for (auto &[name, state] : m_models) {
-        state->room().leave(std::string(id), WaitingOutcome::Gone, now);
+        state->admissionQueue().remove(std::string(id), QueueOutcome::Abandoned, now);
     }
 }
 
@@ -92,11 +94,11 @@
 {
     std::vector<std::string> ready;
     for (auto &[name, state] : m_models) {
-        if (!state->roomMayHaveChanged) {
+        if (!state->capacityMayHaveChanged) {
             continue;
         }
-        state->roomMayHaveChanged = false;
-        std::ranges::move(state->room().next(ReadyAtOnce, now), std::back_inserter(ready));
+        state->capacityMayHaveChanged = false;
+        std::ranges::move(state->admissionQueue().next(MaxReadyRequests, now), std::back_inserter(ready));
     }
     return ready;
 }
@@ -105,7 +107,7 @@
 {
     size_t count = 0;
     for (const auto &[name, state] : m_models) {
-        count += state->room().size();
+        count += state->admissionQueue().size();
     }
     return count;
 }
@@ -117,33 +119,33 @@
 
 double MemoryForecastPolicy::overflowProbabilityOf(TargetIndex index, MonotonicTime now) const
 {
-    return overflowProbability(overflowMargin(presentOn(index, now), {}, static_cast<double>(fleet().target(index).memoryLimit())));
+    return overflowProbability(overflowMargin(presentForecastOn(index, now), {}, static_cast<double>(fleet().target(index).memoryLimit())));
 }
 
 PlacementDecision MemoryForecastPolicy::decide(const PlacementRequest &request, MonotonicTime now, uint64_t random)
 {
     SplitMix numbers(random);
     auto &state = model(request.model);
-    surveyIfOlder(state, request.model, OldestSurvey, now);
+    surveyIfOlder(state, request.model, MaxSurveyAge, now);
     auto need = needOf(request, now);
-    auto &entry = state.room().enter(request, need.memory, now);
-    const auto largest = static_cast<double>(state.lastSurvey().largestLimit);
-    if (largest > 0 && need.memoryNow >= largest) {
-        return refuse(request, state, request.accepted ? ErrorKind::GenerationLost : ErrorKind::InvalidValue, 0, now, numbers);
+    auto &entry = state.admissionQueue().enqueue(request, need.memory, now);
+    const auto maxMemory = static_cast<double>(state.lastSurvey().maxMemoryLimit);
+    if (maxMemory > 0 && need.memoryNow >= maxMemory) {
+        return reject(request, state, request.accepted ? ErrorKind::GenerationLost : ErrorKind::InvalidValue, 0, now, numbers);
     }
-    state.room().setServiceRate(state.releaseRate(m_gateways, now), now);
-    const bool isFirst = !settings().admission || state.room().isFirst(entry, now);
+    state.admissionQueue().setServiceRate(state.releaseRate(m_gateways, now), now);
+    const bool isFirst = !settings().admission || state.admissionQueue().isFirst(entry, now);
     if (isFirst) {
-        allowClass(need, state.room().isAged(entry, now), state);
+        setAdmissionClass(need, state.admissionQueue().isAged(entry, now), state);
         const auto choice = choose(request, need, state, now, numbers);
         if (choice && (choice->fits || !settings().admission)) {
-            state.room().leave(request.id, WaitingOutcome::Served, now);
-            // There may be room for the next one, too.
-            state.roomMayHaveChanged = true;
+            state.admissionQueue().remove(request.id, QueueOutcome::Served, now);
+            // The next request may fit, too.
+            state.capacityMayHaveChanged = true;
             return PlaceOnTarget {.target = fleet().target(choice->target).description.name, .overflowProbability = choice->probability};
         }
     }
-    return waitOrRefuse(request, state, entry, isFirst, now, numbers);
+    return waitOrReject(request, state, entry, isFirst, now, numbers);
 }
 
 void MemoryForecastPolicy::onPlaced(const OwnGeneration &generation, MonotonicTime now)
@@ -177,13 +179,13 @@
         model(generation.model).removeOwn(known->second.memory, generation.workClass);
         m_own.erase(known);
     }
-    model(generation.model).noteRelease(static_cast<double>(generation.memory()), now);
+    model(generation.model).recordRelease(static_cast<double>(generation.memory()), now);
     const bool atLimit = generation.maxTokens > 0 && generation.producedTokens >= generation.maxTokens;
     if (!reason && !atLimit) {
-        m_lengths.finished(keyOf(generation), generation.producedTokens, now);
+        m_lengths.addFinished(keyOf(generation), generation.producedTokens, now);
     } else if (reason == FailureReason::Cancelled || atLimit) {
-        // A generation that is moved or lost goes on elsewhere and is counted when it ends there.
-        m_lengths.cutOff(keyOf(generation), generation.producedTokens, now);
+        // A generation that is moved or lost continues on another target and is recorded when it ends there.
+        m_lengths.addCensored(keyOf(generation), generation.producedTokens, now);
     }
 }
 
@@ -195,7 +197,7 @@
     for (const auto &name : target.description.models) {
         auto &state = model(name);
         surveyIfOlder(state, name, SurveyInterval, now);
-        state.roomMayHaveChanged = true;
+        state.capacityMayHaveChanged = true;
         if (settings().forecastLengths && name == target.description.models.front()) {
             residual = state.lastSurvey().residual;
         }
@@ -204,7 +206,7 @@
     if (settings().estimateOthers && settings().forecastLengths) {
         forecastOf(index).observeOthers(others, residual);
     } else {
-        forecastOf(index).takeOthersAsReported(others.memory);
+        forecastOf(index).setOthersAsReported(others.memory);
     }
 }
 
@@ -260,9 +262,9 @@
     return need;
 }
 
-// Aged work is admitted like the highest class. Otherwise other gateways, which fill the targets up to the margins of that class, would keep it out for
-// ever. It runs with its own priority, so it is still the first to give way.
-void MemoryForecastPolicy::allowClass(Need &need, bool aged, const ModelState &state) const
+// Aged work is admitted like the first class. Otherwise it would never be admitted, because other gateways fill the targets up to the limits of that class. It
+// runs with its own priority, so it is still preempted first.
+void MemoryForecastPolicy::setAdmissionClass(Need &need, bool aged, const ModelState &state) const
 {
     const auto &ranks = settings().rank;
     const auto highest = static_cast<WorkClass>(std::ranges::min_element(ranks) - ranks.begin());
@@ -280,45 +282,45 @@
 }
 
 PlacementDecision
-MemoryForecastPolicy::waitOrRefuse(const PlacementRequest &request, ModelState &state, WaitingEntry &entry, bool isFirst, MonotonicTime now, SplitMix &random)
+MemoryForecastPolicy::waitOrReject(const PlacementRequest &request, ModelState &state, QueuedRequest &entry, bool isFirst, MonotonicTime now, SplitMix &random)
 {
     if (!state.lastSurvey().anyLive && !request.accepted) {
-        return refuse(request, state, ErrorKind::TargetUnavailable, NoTargetRetry, now, random);
+        return reject(request, state, ErrorKind::TargetUnavailable, NoTargetRetrySeconds, now, random);
     }
-    const auto &room = state.room();
+    const auto &admissionQueue = state.admissionQueue();
     const bool anyCold = state.lastSurvey().anyCold;
-    const double forecast = room.expectedWait(entry, now).count();
-    // The forecast knows nothing of the end of a cold start, after which room appears at once.
-    const double wait = anyCold ? std::min(forecast, ColdRetry) : forecast;
+    const double forecast = admissionQueue.expectedWait(entry, now).count();
+    // The forecast does not include the end of a cold start, after which the whole memory of the target is available.
+    const double wait = anyCold ? std::min(forecast, ColdRetrySeconds) : forecast;
     const double maxWait = std::chrono::duration<double>(settings().classes[indexOf(entry.workClass)].maxWait).count();
     const double waited = secondsOf(now - entry.arrived);
-    // The estimate of a request that nothing is ahead of says little; memory may become free at any moment.
-    const bool isSure = !anyCold && (room.needAhead(entry) > 0 || waited > maxWait * SurePart);
-    const bool hopeless = settings().earlyRefusal && isSure && !room.isAged(entry, now) && waited + wait > maxWait;
-    if (!request.accepted && (hopeless || waited >= maxWait)) {
-        const std::chrono::duration<double> comeBack(std::min(wait, LongestRetry));
-        state.room().promise(entry.workClass, entry.need, now + std::chrono::duration_cast<MonotonicTime::duration>(comeBack));
-        return refuse(request, state, ErrorKind::Overloaded, wait, now, random);
+    // If no other request is ahead, the estimate is unreliable, because memory may become free at any moment.
+    const bool isReliable = !anyCold && (admissionQueue.needAhead(entry) > 0 || waited > maxWait * TrustedWaitShare);
+    const bool exceedsMaxWait = settings().earlyRejection && isReliable && !admissionQueue.isAged(entry, now) && waited + wait > maxWait;
+    if (!request.accepted && (exceedsMaxWait || waited >= maxWait)) {
+        const std::chrono::duration<double> retryDelay(std::min(wait, MaxRetrySeconds));
+        state.admissionQueue().expectRetry(entry.workClass, entry.need, now + std::chrono::duration_cast<MonotonicTime::duration>(retryDelay));
+        return reject(request, state, ErrorKind::Overloaded, wait, now, random);
     }
-    const std::chrono::duration<double> shortest = options().pollTime;
-    const double poll = isFirst ? shortest.count() : std::clamp(wait / 2, shortest.count(), LongestPoll.count());
-    const std::chrono::duration<double> delay(poll * (1 + RetrySpread * random.unit()));
-    entry.askAgain = now + std::chrono::duration_cast<MonotonicTime::duration>(delay);
-    return WaitUntil {entry.askAgain};
+    const std::chrono::duration<double> minDelay = options().pollTime;
+    const double poll = isFirst ? minDelay.count() : std::clamp(wait / 2, minDelay.count(), MaxPollInterval.count());
+    const std::chrono::duration<double> delay(poll * (1 + RetryJitter * random.unit()));
+    entry.retryAt = now + std::chrono::duration_cast<MonotonicTime::duration>(delay);
+    return WaitUntil {entry.retryAt};
 }
 
 PlacementDecision
-MemoryForecastPolicy::refuse(const PlacementRequest &request, ModelState &state, ErrorKind kind, double waitSeconds, MonotonicTime now, SplitMix &random)
+MemoryForecastPolicy::reject(const PlacementRequest &request, ModelState &state, ErrorKind kind, double waitSeconds, MonotonicTime now, SplitMix &random)
 {
-    // Only a refusal for lack of room counts in favour of the next request of the workspace.
+    // Only a rejection for lack of capacity shortens the aging time of the workspace's next request.
     const bool lacksRoom = kind == ErrorKind::Overloaded || kind == ErrorKind::TargetUnavailable;
-    state.room().leave(request.id, lacksRoom ? WaitingOutcome::Refused : WaitingOutcome::Gone, now);
-    state.roomMayHaveChanged = true;
-    const double seconds = std::clamp(waitSeconds, ShortestRetry, LongestRetry) * (1 + RetrySpread * random.unit());
+    state.admissionQueue().remove(request.id, lacksRoom ? QueueOutcome::Rejected : QueueOutcome::Abandoned, now);
+    state.capacityMayHaveChanged = true;
+    const double seconds = std::clamp(waitSeconds, MinRetrySeconds, MaxRetrySeconds) * (1 + RetryJitter * random.unit());
     return RejectRequest {.kind = kind, .retryAfter = std::chrono::seconds(static_cast<int64_t>(std::ceil(seconds)))};
 }
 
-// Splits what the target reported into this gateway's work and that of others.
+// Subtracts this gateway's own work from what the target reported. The rest is the work of other gateways.
 OthersObservation MemoryForecastPolicy::othersOn(TargetIndex index, const TargetView &before) const
 {
     const auto &target = fleet().target(index);
@@ -338,7 +340,7 @@
             ++unstarted;
         }
     }
-    // A request that has not answered yet either waits at the engine or is having its prompt read, which already takes memory.
+    // A request without a response either waits at the engine or is in prefill, which already takes memory.
     const int unstartedRunning = unstarted - std::min(unstarted, target.load.waiting);
     if (unstarted > 0) {
         ownMemory += unstartedMemory * unstartedRunning / unstarted;
--- a/Libraries/LibPolicy/MemoryForecastPolicy.h
+++ b/Libraries/LibPolicy/MemoryForecastPolicy.h
@@ -11,8 +11,8 @@
 namespace Jujube
 {
 
-// Places a generation where the probability is low that the target's memory overflows before its running work ends, and lets it wait, or refuses it, while
-// there is no such target.
+// Places a generation on a target whose memory probably does not overflow before its running work ends. While there is no such target, the generation waits or
+// is rejected.
 class MemoryForecastPolicy : public PlacementPolicy
 {
 public:
@@ -28,7 +28,7 @@
 
     const LengthEstimator &lengths() const;
 
-    // Probability that the memory of the target overflows with the work that it has.
+    // Probability that the memory of the target overflows with its present work.
     double overflowProbabilityOf(TargetIndex index, MonotonicTime now) const;
 
 protected:
@@ -39,23 +39,23 @@
     void onLoadReported(TargetIndex index, const TargetView &before, MonotonicTime now) override;
 
 private:
-    // The forecast of one own generation as it is included in the sums.
+    // Forecast of one own generation, as included in the sums of its target and its model.
     struct OwnForecast {
         ForecastMoments moments;
-        // Memory in tokens that it holds on average from now to its end.
+        // Mean memory in tokens that the generation holds from now to its end.
         double memory = 0;
         int64_t producedTokens = 0;
     };
 
-    // What a request asks of a target.
+    // Memory that a request needs, and the conditions under which a target may take it.
     struct Need {
         WorkClass workClass = WorkClass::PayingDraft;
         double maxOverflowProbability = 0;
         double headroom = 0;
-        // Trial work leaves room for paying work unless it has aged.
+        // Trial work leaves the reserve for paying work free unless it has aged.
         bool leavesReserve = false;
         bool isolated = false;
-        // Classes that are not preempted for this one, and the part of others' memory that belongs to them.
+        // Classes that engines do not preempt for this one, and the share of other gateways' memory that belongs to them.
         std::array<WorkClass, WorkClassCount> protectedClasses {};
         size_t protectedCount = 0;
         double othersShare = 1;
@@ -69,13 +69,13 @@
     struct Assessment {
         TargetIndex target = 0;
         bool fits = false;
-        bool comfortable = false;
+        bool isLowRisk = false;
         double probability = 1;
         double cost = 0;
     };
 
-    // The targets of one distance.
-    struct Ring {
+    // The targets of a model at one distance from this gateway, in groups by data centre.
+    struct DistanceGroup {
         std::vector<std::span<const TargetIndex>> groups;
         size_t count = 0;
         int distance = 0;
@@ -88,28 +88,29 @@
     void surveyIfOlder(ModelState &state, std::string_view name, MonotonicTime::duration age, MonotonicTime now);
     OwnForecast forecast(const LengthKey &key, int64_t promptTokens, int64_t producedTokens, int64_t maxTokens, MonotonicTime now) const;
     Need needOf(const PlacementRequest &request, MonotonicTime now) const;
-    void allowClass(Need &need, bool aged, const ModelState &state) const;
-    PlacementDecision waitOrRefuse(const PlacementRequest &request, ModelState &state, WaitingEntry &entry, bool isFirst, MonotonicTime now, SplitMix &random);
-    PlacementDecision refuse(const PlacementRequest &request, ModelState &state, ErrorKind kind, double waitSeconds, MonotonicTime now, SplitMix &random);
+    void setAdmissionClass(Need &need, bool aged, const ModelState &state) const;
+    PlacementDecision waitOrReject(const PlacementRequest &request, ModelState &state, QueuedRequest &entry, bool isFirst, MonotonicTime now, SplitMix &random);
+    PlacementDecision reject(const PlacementRequest &request, ModelState &state, ErrorKind kind, double waitSeconds, MonotonicTime now, SplitMix &random);
     OthersObservation othersOn(TargetIndex index, const TargetView &before) const;
     TargetForecast &forecastOf(TargetIndex index);
 
     // MemoryForecastChoice.cpp
     std::optional<Assessment> choose(const PlacementRequest &request, const Need &need, const ModelState &state, MonotonicTime now, SplitMix &random);
-    void makeRings(const PlacementRequest &request);
-    void searchRing(const Ring &ring, const Need &need, const ModelState &state, MonotonicTime now, SplitMix &random, std::optional<Assessment> &best);
-    bool mayTake(TargetIndex index, const Need &need, MonotonicTime now) const;
+    void groupTargetsByDistance(const PlacementRequest &request);
+    void searchDistanceGroup(
+        const DistanceGroup &distanceGroup, const Need &need, const ModelState &state, MonotonicTime now, SplitMix &random, std::optional<Assessment> &best);
+    bool isEligible(TargetIndex index, const Need &need, MonotonicTime now) const;
     Assessment assess(TargetIndex index, const Need &need, const ModelState &state, int distance, MonotonicTime now) const;
-    double companyOn(TargetIndex index) const;
-    double reserveOn(TargetIndex index, const ModelState &state, MonotonicTime now) const;
-    ForecastMoments presentOn(TargetIndex index, MonotonicTime now) const;
-    double heldOn(TargetIndex index, const Need &need, MonotonicTime now) const;
-    ForecastMoments protectedOn(TargetIndex index, const Need &need, MonotonicTime now) const;
+    double otherRunsOn(TargetIndex index) const;
+    double payingReserveOn(TargetIndex index, const ModelState &state, MonotonicTime now) const;
+    ForecastMoments presentForecastOn(TargetIndex index, MonotonicTime now) const;
+    double protectedMemoryOn(TargetIndex index, const Need &need, MonotonicTime now) const;
+    ForecastMoments protectedForecastOn(TargetIndex index, const Need &need, MonotonicTime now) const;
 
     // MemoryForecastMoves.cpp
     void adviseMovesFrom(TargetIndex index, MonotonicTime now, SplitMix &random, std::vector<MoveAdvice> &advice);
-    size_t movesNeeded(TargetIndex index) const;
-    bool isInDanger(const OwnGeneration &generation, MonotonicTime now);
+    size_t maxMoves(TargetIndex index) const;
+    bool isLikelyPreempted(const OwnGeneration &generation, MonotonicTime now);
     std::optional<Assessment> betterTarget(const OwnGeneration &generation, MonotonicTime now, SplitMix &random);
 
     const MemoryForecastOptions &settings() const;
@@ -122,8 +123,8 @@
     std::map<std::string, std::unique_ptr<ModelState>, std::less<>> m_models;
     int m_gateways = 1;
 
-    // Kept between decisions to save allocations.
-    std::array<Ring, 3> m_rings;
+    // Reused between decisions to avoid allocations.
+    std::array<DistanceGroup, 3> m_distanceGroups;
     std::vector<uint32_t> m_order;
 };
 
--- a/Libraries/LibPolicy/ModelState.cpp
+++ b/Libraries/LibPolicy/ModelState.cpp
@@ -9,25 +9,26 @@
 namespace
 {
 
-// Short enough to follow a lost data centre, long enough to average over single generations.
+// Short enough to follow the loss of a data centre, long enough to average over single generations.
 constexpr std::chrono::seconds ReleaseHalfLife {5};
 
-// Work that gateways with the same view may send to a target before its next report: this many generations, or this share of what runs there.
+// Work that gateways with the same view may place on a target before its next report: this many generations, or this share of the generations that run there,
+// whichever is more.
 constexpr double TolerableSurge = 2;
 constexpr double TolerableSurgeShare = 0.1;
 
-// Own memory in tokens, about three drafts, up to which paying drafts are assumed to make up what is missing. A gateway with little work of its own, all of it
-// trial work, must not conclude that others have no paying work either.
-constexpr double LeastOwnMemory = 2000;
+// Memory in tokens, about three drafts. If this gateway's own work holds less, the difference is assumed to belong to paying drafts. Otherwise a gateway with
+// little work, all of it trial work, would conclude that other gateways have no paying work either.
+constexpr double MinOwnMemory = 2000;
 
-// One token per second keeps estimates of a wait finite.
-constexpr double LeastReleaseRate = 1;
+// In tokens per second. Keeps wait estimates finite.
+constexpr double MinReleaseRate = 1;
 
 } // namespace
 
 ModelState::ModelState(const MemoryForecastOptions &options)
     : m_options(options)
-    , m_room(options)
+    , m_admissionQueue(options)
     , m_releases(ReleaseHalfLife)
 {
 }
@@ -42,8 +43,8 @@
     for (const auto &group : fleet.targetsOf(model)) {
         for (const auto index : group.targets) {
             const auto &target = fleet.target(index);
-            // Targets that are out of service count, too: they may return.
-            survey.largestLimit = std::max(survey.largestLimit, target.memoryLimit());
+            // Targets that are out of service are included, because they may return.
+            survey.maxMemoryLimit = std::max(survey.maxMemoryLimit, target.memoryLimit());
             if (target.isLeaving() || fleet.dataCentre(group.dataCentre).out) {
                 continue;
             }
@@ -52,7 +53,7 @@
             if (fleet.mayBeCold(index, now) || !fleet.isUsable(index, now)) {
                 continue;
             }
-            const double share = m_options.returnRamp ? fleet.returnShare(index, now) : 1.0;
+            const double share = m_options.slowStart ? fleet.slowStartShare(index, now) : 1.0;
             survey.capacity += static_cast<double>(target.memoryLimit()) * share;
             survey.used += static_cast<double>(target.load.memoryUsed);
             running += target.load.running + target.load.waiting;
@@ -66,7 +67,7 @@
     const double count = std::max(reporting, 1);
     m_survey = survey;
     m_survey.choices = choicesFor(std::max(0.0, running - own) / count, running / count, lag / count);
-    const double paying = survey.used * payingShare() + m_room.payingNeed() * gateways;
+    const double paying = survey.used * payingShare() + m_admissionQueue.payingNeed() * gateways;
     m_payingPeak = std::max(paying, payingDemand(now));
     m_payingPeakAt = now;
 }
@@ -76,14 +77,14 @@
     return m_survey;
 }
 
-WaitingRoom &ModelState::room()
+AdmissionQueue &ModelState::admissionQueue()
 {
-    return m_room;
+    return m_admissionQueue;
 }
 
-const WaitingRoom &ModelState::room() const
+const AdmissionQueue &ModelState::admissionQueue() const
 {
-    return m_room;
+    return m_admissionQueue;
 }
 
 void ModelState::addOwn(double memory, WorkClass workClass)
@@ -96,23 +97,23 @@
     m_own[indexOf(workClass)] = std::max(0.0, m_own[indexOf(workClass)] - memory);
 }
 
-void ModelState::noteRelease(double memory, MonotonicTime now)
+void ModelState::recordRelease(double memory, MonotonicTime now)
 {
     m_releases.add(memory, now);
-    roomMayHaveChanged = true;
+    capacityMayHaveChanged = true;
 }
 
 double ModelState::releaseRate(int gateways, MonotonicTime now) const
 {
     const double seconds = std::max(m_survey.meanDuration.count(), 0.1);
     const double share = m_survey.used / seconds / std::max(gateways, 1);
-    return std::max({m_releases.perSecond(now), share, LeastReleaseRate});
+    return std::max({m_releases.perSecond(now), share, MinReleaseRate});
 }
 
 double ModelState::shareOf(std::span<const WorkClass> classes) const
 {
     const double all = std::accumulate(m_own.begin(), m_own.end(), 0.0);
-    const double assumed = std::max(0.0, LeastOwnMemory - all);
+    const double assumed = std::max(0.0, MinOwnMemory - all);
     double part = 0;
     for (const auto workClass : classes) {
         part += m_own[indexOf(workClass)] + (workClass == WorkClass::PayingDraft ? assumed : 0.0);
@@ -132,15 +133,15 @@
     return m_payingPeak * std::exp2(-std::max(elapsed.count(), 0.0) / std::chrono::duration<double>(m_options.demandHalfLife).count());
 }
 
-// Every gateway sees the same reports. If each always took the best of many targets, all of them would send their work to the same few targets until the
-// next reports. A target can become the choice of as many times its share of arrivals as targets are compared, so the number compared is bounded by the
-// arrivals from others within the lag of the reports (compare Mitzenmacher, "How useful is old information?", 2000).
+// Every gateway receives the same load reports. If each always chose the best of many targets, all of them would place their work on the same few targets until
+// the next reports. If d targets are compared, one target can receive up to d times its share of the arrivals. The number of compared targets is therefore
+// bounded by the arrivals from other gateways within the lag of the reports (see Mitzenmacher, "How useful is old information?", 2000).
 size_t ModelState::choicesFor(double othersPerTarget, double runningPerTarget, double lagSeconds) const
 {
     const double arrivals = othersPerTarget / std::max(m_survey.meanDuration.count(), 0.1) * lagSeconds;
     const double tolerable = std::max(TolerableSurge, TolerableSurgeShare * runningPerTarget);
-    const double most = static_cast<double>(std::max<size_t>(m_options.candidates, 2));
-    return static_cast<size_t>(std::clamp(tolerable / std::max(arrivals, 1e-3), 2.0, most));
+    const double maxChoices = static_cast<double>(std::max<size_t>(m_options.maxCandidates, 2));
+    return static_cast<size_t>(std::clamp(tolerable / std::max(arrivals, 1e-3), 2.0, maxChoices));
 }
 
 } // namespace Jujube
--- a/Libraries/LibPolicy/PlacementPolicy.cpp
+++ b/Libraries/LibPolicy/PlacementPolicy.cpp
@@ -9,7 +9,7 @@
 
 PlacementPolicy::PlacementPolicy(const PlacementOptions &options)
     : m_options(options)
-    , m_fleet(options.returnRamp)
+    , m_fleet(options.slowStart)
 {
 }
 
@@ -27,9 +27,9 @@
 {
     auto decision = decide(request, now, random);
     if (const auto *placed = std::get_if<PlaceOnTarget>(&decision)) {
-        // A request that is still booked is being moved. Until there is a new target it stays where it is.
-        release(request.id, FailureReason::Moved, now);
-        book(request, placed->target, now);
+        // A request that still has a target is being moved. It stays there until a new target is chosen.
+        removeOwnGeneration(request.id, FailureReason::Moved, now);
+        addOwnGeneration(request, placed->target, now);
     }
     return decision;
 }
@@ -55,7 +55,7 @@
 
 void PlacementPolicy::generationFinished(std::string_view id, MonotonicTime now)
 {
-    release(id, std::nullopt, now);
+    removeOwnGeneration(id, std::nullopt, now);
 }
 
 void PlacementPolicy::generationFailed(std::string_view id, FailureReason reason, MonotonicTime now)
@@ -63,7 +63,7 @@
     if (const auto *generation = findOwn(id); generation != nullptr && reason == FailureReason::TargetLost) {
         m_fleet.suspect(generation->target, now, now + m_options.suspectTime);
     }
-    release(id, reason, now);
+    removeOwnGeneration(id, reason, now);
 }
 
 void PlacementPolicy::abandoned(std::string_view, MonotonicTime)
@@ -154,7 +154,7 @@
 {
 }
 
-void PlacementPolicy::book(const PlacementRequest &request, std::string_view target, MonotonicTime now)
+void PlacementPolicy::addOwnGeneration(const PlacementRequest &request, std::string_view target, MonotonicTime now)
 {
     const auto index = *m_fleet.find(target);
     if (m_ownByTarget.size() <= index) {
@@ -180,7 +180,7 @@
     m_own[request.id] = std::move(generation);
 }
 
-void PlacementPolicy::release(std::string_view id, std::optional<FailureReason> reason, MonotonicTime now)
+void PlacementPolicy::removeOwnGeneration(std::string_view id, std::optional<FailureReason> reason, MonotonicTime now)
 {
     const auto known = m_own.find(toAbsl(id));
     if (known == m_own.end()) {
--- a/Libraries/LibPolicy/PlacementPolicy.h
+++ b/Libraries/LibPolicy/PlacementPolicy.h
@@ -23,10 +23,10 @@
 
 struct PlacementOptions {
     PlacementPolicyKind kind = PlacementPolicyKind::MemoryForecast;
-    ReturnRampOptions returnRamp;
+    SlowStartOptions slowStart;
     // After a failure, a target gets no new request for this time or until a newer load report.
     std::chrono::milliseconds suspectTime {2000};
-    // How long a request waits before it asks again when no target may take it and the policy has no better estimate.
+    // Delay before the next placement attempt of a request that no target may take, if the policy has no better estimate.
     std::chrono::milliseconds pollTime {50};
     MemoryForecastOptions forecast;
 };
@@ -53,15 +53,15 @@
     }
 };
 
-// Advice to continue a generation on another target, because the memory of its present one is about to overflow.
+// Advice to continue a generation on another target, because its present one is leaving, cold or about to overflow its memory.
 struct MoveAdvice {
     std::string id;
     std::string target;
     WorkClass workClass = WorkClass::TrialSuggestion;
 };
 
-// Decides which target runs a generation, and when. The gateway reports everything that it observes; all state is in here and in the fleet view. Not safe
-// for use by several threads: the gateway calls it under one lock.
+// Decides which target runs a generation, and when. The gateway reports everything that it observes. All state is kept here and in the fleet view. Not
+// thread-safe: the gateway calls it under one lock.
 class PlacementPolicy
 {
 public:
@@ -70,15 +70,15 @@
     PlacementPolicy(const PlacementPolicy &) = delete;
     PlacementPolicy &operator=(const PlacementPolicy &) = delete;
 
-    // Documents, the VM list and permits are put in here directly; load reports go through loadReported().
+    // The gateway updates the fleet view directly from environment documents, the VM list and permits. Load reports go through loadReported().
     FleetView &fleet();
     const FleetView &fleet() const;
 
-    // Decides about a new request, about one that was told to wait, or about one that lost its target. `random` must be fresh and uniform for every call. A
-    // request that is placed counts as running until generationFinished() or generationFailed().
+    // Decides about a new request, about a waiting one, or about one that lost its target. `random` must be a new, uniformly distributed number for every call.
+    // A request that is placed counts as running until generationFinished() or generationFailed().
     PlacementDecision place(const PlacementRequest &request, MonotonicTime now, uint64_t random);
 
-    // The target answered the request.
+    // The target started its response to the request.
     void generationStarted(std::string_view id, MonotonicTime now);
 
     // `count` more tokens arrived.
@@ -86,24 +86,25 @@
     void generationFinished(std::string_view id, MonotonicTime now);
     void generationFailed(std::string_view id, FailureReason reason, MonotonicTime now);
 
-    // The caller of a request that was told to wait has gone. Also for a move that was told to wait: the generation then stays where it is.
+    // The caller of a waiting request has disconnected. Also called for a move that would have to wait: the generation then stays on its target.
     virtual void abandoned(std::string_view id, MonotonicTime now);
 
     void loadReported(std::string_view target, const LoadReport &report, MonotonicTime::duration age, MonotonicTime now);
 
-    // Cache events of a target. They are late and have gaps, so they are hints only.
+    // Cache events of a target. They arrive late and incompletely, so they are only hints.
     virtual void prefixStored(std::string_view target, uint64_t prefixHash);
     virtual void prefixEvicted(std::string_view target, uint64_t prefixHash);
 
     // Number of gateways that share the fleet, this one included.
     virtual void setLiveGateways(int count);
 
-    // Waiting requests that may have room now, best first. The gateway calls this after every load report and every end of a generation, and asks again for
-    // each of them in this order.
+    // Waiting requests that may fit on a target now, in the order in which they are to be served. The gateway calls this after every load report and every end
+    // of a generation, and calls place() again for each of them in this order.
     virtual std::vector<std::string> takeReady(MonotonicTime now);
 
-    // Own generations that should move away, the least important first. The gateway calls this about once a second, and moves only what can be continued
-    // exactly: it places the generation again, accepted and without its present target, and cancels the old attempt if there is a new target.
+    // Own generations that should move to another target, the least important first. The gateway calls this about once a second, and moves only generations
+    // that can be continued exactly: it places the generation again, accepted and with its present target excluded, and cancels the old attempt if there is a
+    // new target.
     virtual std::vector<MoveAdvice> adviseMoves(MonotonicTime now, uint64_t random);
 
     // Requests that wait at this gateway.
@@ -115,18 +116,18 @@
     const PlacementOptions &options() const;
     std::span<OwnGeneration *const> ownOn(TargetIndex index) const;
 
-    // The decision proper. The base class books the result.
+    // Makes the decision. The base class records the placement.
     virtual PlacementDecision decide(const PlacementRequest &request, MonotonicTime now, uint64_t random) = 0;
 
     virtual void onPlaced(const OwnGeneration &generation, MonotonicTime now);
     virtual void onTokens(const OwnGeneration &generation, MonotonicTime now);
-    // Called before the generation is forgotten. `reason` is empty if it finished.
+    // Called before the generation is destroyed. `reason` is empty if it finished.
     virtual void onEnded(const OwnGeneration &generation, std::optional<FailureReason> reason, MonotonicTime now);
     virtual void onLoadReported(TargetIndex index, const TargetView &before, MonotonicTime now);
 
 private:
-    void book(const PlacementRequest &request, std::string_view target, MonotonicTime now);
-    void release(std::string_view id, std::optional<FailureReason> reason, MonotonicTime now);
+    void addOwnGeneration(const PlacementRequest &request, std::string_view target, MonotonicTime now);
+    void removeOwnGeneration(std::string_view id, std::optional<FailureReason> reason, MonotonicTime now);
     OwnGeneration *findOwn(std::string_view id);
 
     PlacementOptions m_options;
--- a/Libraries/LibPolicy/PlacementTypes.h
+++ b/Libraries/LibPolicy/PlacementTypes.h
@@ -33,7 +33,7 @@
     return static_cast<size_t>(workClass);
 }
 
-// A target's answer to GET /load. Memory is counted in tokens of cache.
+// A target's response to GET /load. Memory is the KV cache in tokens.
 struct LoadReport {
     uint64_t incarnation = 0;
     int running = 0;
@@ -47,7 +47,7 @@
 
 // One generation that needs a target.
 struct PlacementRequest {
-    // The generation id. A request that was told to wait asks again under the same id.
+    // The generation id. A waiting request keeps its id in every placement attempt.
     std::string id;
     std::string workspace;
     WorkspaceTier tier = WorkspaceTier::Paying;
@@ -58,32 +58,33 @@
     int64_t producedTokens = 0;
     // Upper bound of the output length. Zero if there is none.
     int64_t maxTokens = 0;
-    // True if the answer was already accepted (a continued or restarted generation). Accepted work is never refused for lack of room.
+    // True if the generation was already accepted (it is continued or restarted). Accepted work is never rejected for lack of capacity.
     bool accepted = false;
-    // The request ran on a target that crashed. It goes where few others run, and not beside another such request, so that the one that causes crashes shows.
+    // The request ran on a target that crashed. It is placed where few others run and not next to another such request, so that the request that causes crashes
+    // can be identified.
     bool isolated = false;
     // Hashes of the prefixes of the prompt, shortest first.
     std::vector<uint64_t> prefixHashes;
     // Names of targets that must not be chosen, for example the one that just failed.
     std::vector<std::string> excludedTargets;
-    // Where this gateway is.
+    // Location of this gateway.
     std::string dataCentre;
     std::string region;
 };
 
-// Send the request to the target. The policy counts it as running there until it is told that it finished or failed.
+// Send the request to the target. The policy counts it as running there until the gateway reports that it finished or failed.
 struct PlaceOnTarget {
     std::string target;
     // Probability that the target's memory overflows before its running work ends. Zero for policies that do not estimate it.
     double overflowProbability = 0;
 };
 
-// Ask again at the given time, or earlier if takeReady() names the request.
+// Call place() again at the given time, or earlier if takeReady() returns the request.
 struct WaitUntil {
     MonotonicTime time;
 };
 
-// Answer the caller with the error kind. The request was not run.
+// Respond to the caller with the error kind. The request has not run.
 struct RejectRequest {
     ErrorKind kind = ErrorKind::Overloaded;
     std::chrono::seconds retryAfter {1};
@@ -93,11 +94,11 @@
 
 // Why a placed generation ended without its last token.
 enum class FailureReason : uint8_t {
-    // The caller left or the request was cancelled.
+    // The caller disconnected or the request was cancelled.
     Cancelled,
     // The generation is moved to another target; the old one is healthy.
     Moved,
-    // The target refused the connection, died or fell silent.
+    // The target refused the connection, crashed or stopped responding.
     TargetLost,
 };
 
--- a/Libraries/LibPolicy/PrefixHints.cpp
+++ b/Libraries/LibPolicy/PrefixHints.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-// About 5 MB. The oldest prefixes are forgotten first.
+// Takes about 5 MB. The oldest prefixes are removed first.
 constexpr size_t MaxPrefixes = 65536;
 
-// More holders of a prefix would not change a decision.
+// More targets with the same prefix would not change a decision.
 constexpr size_t MaxTargetsPerPrefix = 4;
 
 } // namespace
@@ -39,7 +39,7 @@
 {
     const auto known = m_targets.find(prefixHash);
     if (known != m_targets.end()) {
-        // The entry itself stays until its turn in m_order, which bounds both containers.
+        // The entry itself stays until its hash is removed from m_order, which bounds both containers.
         std::erase(known->second, target);
     }
 }
--- a/Libraries/LibPolicy/PrefixHints.h
+++ b/Libraries/LibPolicy/PrefixHints.h
@@ -8,7 +8,7 @@
 namespace Jujube
 {
 
-// Which targets probably have the cache of which prompt prefixes. Cache events come late and with gaps, so this is a hint.
+// Records which targets probably have which prompt prefixes in their caches. Cache events arrive late and incompletely, so this is only a hint.
 class PrefixHints
 {
 public:
@@ -17,7 +17,7 @@
 
     struct Match {
         std::span<const TargetIndex> targets;
-        // Matched part of the prefixes, between 0 and 1.
+        // Matched share of the prefixes, between 0 and 1.
         double share = 0;
     };
 
--- a/Libraries/LibPolicy/RetryBudget.cpp
+++ b/Libraries/LibPolicy/RetryBudget.cpp
@@ -10,21 +10,21 @@
 {
 }
 
-void RetryBudget::noteSuccess()
+void RetryBudget::recordSuccess()
 {
-    m_available = std::min(m_available + m_options.share, m_options.mostSaved);
+    m_available = std::min(m_available + m_options.share, m_options.maxSaved);
 }
 
 bool RetryBudget::tryRetry(int liveGateways, MonotonicTime now)
 {
-    const double floor = m_options.floorPerSecond / std::max(liveGateways, 1);
+    const double floor = m_options.minRetriesPerSecond / std::max(liveGateways, 1);
     if (!m_started) {
-        // A gateway starts with the floor of one second, but with at least one retry.
-        m_available = std::min(m_available + std::max(floor, 1.0), m_options.mostSaved);
+        // A gateway starts with its share of the minimum rate for one second, but with at least one retry.
+        m_available = std::min(m_available + std::max(floor, 1.0), m_options.maxSaved);
         m_started = true;
     } else {
         const std::chrono::duration<double> elapsed = now - m_updated;
-        m_available = std::min(m_available + std::max(elapsed.count(), 0.0) * floor, m_options.mostSaved);
+        m_available = std::min(m_available + std::max(elapsed.count(), 0.0) * floor, m_options.maxSaved);
     }
     m_updated = std::max(m_updated, now);
     if (m_available < 1) {
--- a/Libraries/LibPolicy/RoundRobinPolicy.h
+++ b/Libraries/LibPolicy/RoundRobinPolicy.h
@@ -5,7 +5,7 @@
 namespace Jujube
 {
 
-// Takes the usable targets of a model in turn.
+// Chooses the usable targets of a model in turn.
 class RoundRobinPolicy : public BaselinePolicy
 {
 public:
@@ -15,7 +15,7 @@
     TargetIndex choose(const PlacementRequest &request, std::span<const TargetIndex> usable, uint64_t random) override;
 
 private:
-    absl::flat_hash_map<std::string, uint64_t> m_turn;
+    absl::flat_hash_map<std::string, uint64_t> m_nextIndex;
 };
 
 } // namespace Jujube
--- a/Libraries/LibPolicy/ReturnRamp.cpp
+++ b/Libraries/LibPolicy/SlowStart.cpp
@@ -1,26 +1,26 @@
-#include <LibPolicy/ReturnRamp.h>
+#include <LibPolicy/SlowStart.h>
 
 #include <utility>
 
 namespace Jujube
 {
 
-ReturnRamp::ReturnRamp(ReturnRampOptions options)
+SlowStart::SlowStart(SlowStartOptions options)
     : m_options(std::move(options))
 {
 }
 
-void ReturnRamp::start(MonotonicTime now)
+void SlowStart::start(MonotonicTime now)
 {
     m_start = now;
 }
 
-void ReturnRamp::stop()
+void SlowStart::stop()
 {
     m_start.reset();
 }
 
-void ReturnRamp::noteTrouble(MonotonicTime now)
+void SlowStart::recordFailure(MonotonicTime now)
 {
     const auto current = step(now);
     if (current >= m_options.shares.size()) {
@@ -29,13 +29,13 @@
     m_start = now - current * m_options.stepTime;
 }
 
-double ReturnRamp::share(MonotonicTime now) const
+double SlowStart::share(MonotonicTime now) const
 {
     const auto current = step(now);
     return current < m_options.shares.size() ? m_options.shares[current] : 1.0;
 }
 
-size_t ReturnRamp::step(MonotonicTime now) const
+size_t SlowStart::step(MonotonicTime now) const
 {
     if (!m_start || m_options.stepTime.count() <= 0) {
         return m_options.shares.size();
--- a/Libraries/LibPolicy/TargetForecast.cpp
+++ b/Libraries/LibPolicy/TargetForecast.cpp
@@ -8,14 +8,14 @@
 namespace
 {
 
-// Weight of the newest report in the drift. About the last six reports count.
+// Weight of the newest report in the moving average of the drift. About the last six reports count.
 constexpr double DriftWeight = 0.3;
 
-// A drift is not extrapolated beyond this.
-constexpr std::chrono::duration<double> LongestLag {10};
+// The drift is not extrapolated beyond this time after a load report.
+constexpr std::chrono::duration<double> MaxLag {10};
 
-// Reports closer together than this say more about rounding than about drift.
-constexpr double ShortestInterval = 0.02;
+// Between reports that are closer together than this, rounding dominates the change.
+constexpr double MinReportIntervalSeconds = 0.02;
 
 } // namespace
 
@@ -37,7 +37,7 @@
     if (seconds <= 0) {
         m_drift = 0;
         m_variancePerSecond = 0;
-    } else if (seconds >= ShortestInterval && m_seen) {
+    } else if (seconds >= MinReportIntervalSeconds && m_seen) {
         const double change = observation.memory - m_othersMemory;
         m_drift += DriftWeight * (change / seconds - m_drift);
         m_variancePerSecond += DriftWeight * (change * change / seconds - m_variancePerSecond);
@@ -50,7 +50,7 @@
     m_others = momentsOf(count + observation.waiting, each, residual);
 }
 
-void TargetForecast::takeOthersAsReported(double memory)
+void TargetForecast::setOthersAsReported(double memory)
 {
     m_othersMemory = memory;
     m_others = constantMoments(memory);
@@ -64,7 +64,7 @@
 
 ForecastMoments TargetForecast::at(std::chrono::duration<double> lag, std::span<const WorkClass> classes, double othersShare) const
 {
-    const double seconds = std::clamp(lag, std::chrono::duration<double>(0), LongestLag).count();
+    const double seconds = std::clamp(lag, std::chrono::duration<double>(0), MaxLag).count();
     const double drift = std::max(0.0, m_drift) * seconds;
     const double variance = m_variancePerSecond * seconds;
     ForecastMoments total;
@@ -79,13 +79,13 @@
     return total;
 }
 
-double TargetForecast::held(std::chrono::duration<double> lag, std::span<const WorkClass> classes, double othersShare) const
+double TargetForecast::presentMean(std::chrono::duration<double> lag, std::span<const WorkClass> classes, double othersShare) const
 {
     double own = 0;
     for (const auto workClass : classes) {
         own += m_own[indexOf(workClass)].mean[0];
     }
-    const double seconds = std::clamp(lag, std::chrono::duration<double>(0), LongestLag).count();
+    const double seconds = std::clamp(lag, std::chrono::duration<double>(0), MaxLag).count();
     return std::max(0.0, own) + othersShare * (m_others.mean[0] + std::max(0.0, m_drift) * seconds);
 }
 
--- a/Libraries/LibPolicy/TargetForecast.h
+++ b/Libraries/LibPolicy/TargetForecast.h
@@ -10,7 +10,7 @@
 namespace Jujube
 {
 
-// What a load report says about the work of other gateways on a target.
+// Work of other gateways on a target, as derived from a load report.
 struct OthersObservation {
     // Cache memory in tokens, running and waiting requests.
     double memory = 0;
@@ -20,8 +20,8 @@
     std::chrono::duration<double> sincePrevious {0};
 };
 
-// Forecast of the memory of one target: the generations of this gateway one by one, and those of other gateways as a population that was last seen in a
-// load report.
+// Forecast of the memory of one target. Generations of this gateway are forecast one by one, those of other gateways as a population that was last observed in
+// a load report.
 class TargetForecast
 {
 public:
@@ -31,17 +31,17 @@
     // `residual` is the residual survival of a generation of unknown age. It is all ones if lengths are not forecast.
     void observeOthers(const OthersObservation &observation, const StepValues &residual);
 
-    // Reported memory is taken as it is: neither growth nor arrivals since the report are estimated.
-    void takeOthersAsReported(double memory);
+    // Uses the reported memory unchanged: neither growth nor arrivals since the report are estimated.
+    void setOthersAsReported(double memory);
 
     // Memory at each step, `lag` after the load report was taken.
     ForecastMoments at(std::chrono::duration<double> lag) const;
 
-    // The part of it that belongs to the given classes. `othersShare` is the part of others' memory that is assumed to belong to them.
+    // The part of this memory that belongs to the given classes. `othersShare` is the share of others' memory that is assumed to belong to them.
     ForecastMoments at(std::chrono::duration<double> lag, std::span<const WorkClass> classes, double othersShare) const;
 
-    // The mean of the same at the first step only.
-    double held(std::chrono::duration<double> lag, std::span<const WorkClass> classes, double othersShare) const;
+    // Mean of this part at the first step only.
+    double presentMean(std::chrono::duration<double> lag, std::span<const WorkClass> classes, double othersShare) const;
 
     double ownMemory(WorkClass workClass) const;
     double othersMemory() const;
@@ -52,7 +52,7 @@
     ForecastMoments m_others;
     double m_othersMemory = 0;
     bool m_seen = false;
-    // How others' memory changed between reports: tokens per second, and variance in tokens squared per second as of a random walk.
+    // Change of others' memory between reports: drift in tokens per second, and variance in tokens squared per second as for a random walk.
     double m_drift = 0;
     double m_variancePerSecond = 0;
 };
--- a/Libraries/LibPolicy/WorkspaceLimiter.cpp
+++ b/Libraries/LibPolicy/WorkspaceLimiter.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr size_t MostBuckets = 4096;
+constexpr size_t MaxBuckets = 4096;
 
 // A bucket that was not used for this long is full again under every sensible limit.
 constexpr std::chrono::minutes IdleTime {10};
@@ -22,7 +22,7 @@
     if (limit.perSecond <= 0) {
         return {};
     }
-    makeRoom(now);
+    evictStale(now);
     const double gateways = std::max(liveGateways, 1);
     const double rate = limit.perSecond / gateways;
     // A bucket that cannot hold the request would never grant it.
@@ -42,9 +42,9 @@
     return std::chrono::ceil<MonotonicTime::duration>(missing);
 }
 
-void WorkspaceLimiter::makeRoom(MonotonicTime now)
+void WorkspaceLimiter::evictStale(MonotonicTime now)
 {
-    if (m_buckets.size() < MostBuckets) {
+    if (m_buckets.size() < MaxBuckets) {
         return;
     }
     absl::erase_if(m_buckets, [now](const auto &entry) { return now - entry.second.updated > IdleTime; });
--- a/Libraries/LibPolicy/WorkspaceLimiter.h
+++ b/Libraries/LibPolicy/WorkspaceLimiter.h
@@ -13,12 +13,12 @@
 struct WorkspaceLimit {
     // Units per second, for example requests. Zero means that there is no limit.
     double perSecond = 0;
-    // Units that can be used at once after a pause.
+    // Units that can be used at once after an idle time.
     double burst = 0;
 };
 
-// Token buckets that hold workspaces to their limits. Each gateway grants an equal part of the limit, so the fleet as a whole never grants more than the
-// limit, without any exchange between gateways. The price: a workspace whose requests all go to one gateway gets only that gateway's part.
+// Token buckets that enforce the limits of workspaces. Each gateway grants an equal part of the limit, so the fleet as a whole never grants more than the
+// limit, without any communication between gateways. The drawback is that a workspace whose requests all go to one gateway gets only that gateway's part.
 class WorkspaceLimiter
 {
 public:
@@ -32,7 +32,7 @@
         bool used = false;
     };
 
-    void makeRoom(MonotonicTime now);
+    void evictStale(MonotonicTime now);
 
     absl::flat_hash_map<std::string, Bucket> m_buckets;
 };
--- a/Tests/LibPolicy/PolicyFixture.h
+++ b/Tests/LibPolicy/PolicyFixture.h
@@ -9,7 +9,7 @@
 
 constexpr MonotonicTime Start {1000s};
 
-// A policy over targets named "t0", "t1" and so on, with 10,000 tokens of memory each, in three data centres of two regions by turns.
+// A policy with targets named "t0", "t1" and so on, with 10,000 tokens of memory each, distributed in turn over three data centres in two regions.
 struct PolicyFixture {
     explicit PolicyFixture(size_t targets, PlacementOptions options = {}, int coldLimit = 0)
         : policy(makePlacementPolicy(options))
@@ -26,7 +26,7 @@
         }
     }
 
-    // Reports come often enough for each to be followed by a survey of the fleet.
+    // Advances the time by more than the interval between surveys, so that each report triggers a survey of the fleet.
     void report(size_t index, LoadReport load)
     {
         now += 300ms;
@@ -37,25 +37,25 @@
 
     PlacementRequest request(const std::string &id, WorkspaceTier tier = WorkspaceTier::Paying, const std::string &workspace = "w") const
     {
-        PlacementRequest made;
-        made.id = id;
-        made.workspace = workspace;
-        made.tier = tier;
-        made.model = "m";
-        made.promptTokens = 100;
-        made.dataCentre = "lahore";
-        made.region = "punjab";
-        return made;
+        PlacementRequest placementRequest;
+        placementRequest.id = id;
+        placementRequest.workspace = workspace;
+        placementRequest.tier = tier;
+        placementRequest.model = "m";
+        placementRequest.promptTokens = 100;
+        placementRequest.dataCentre = "lahore";
+        placementRequest.region = "punjab";
+        return placementRequest;
     }
 
-    // Name of the chosen target, "wait" or "refuse".
-    std::string ask(const PlacementRequest &made)
+    // Name of the chosen target, "wait" or "reject".
+    std::string place(const PlacementRequest &placementRequest)
     {
-        const auto decision = policy->place(made, now, random.next());
+        const auto decision = policy->place(placementRequest, now, random.next());
         if (const auto *placed = std::get_if<PlaceOnTarget>(&decision)) {
             return placed->target;
         }
-        return std::holds_alternative<WaitUntil>(decision) ? "wait" : "refuse";
+        return std::holds_alternative<WaitUntil>(decision) ? "wait" : "reject";
     }
 
     std::unique_ptr<PlacementPolicy> policy;
--- a/Tests/LibPolicy/TestBudgets.cpp
+++ b/Tests/LibPolicy/TestBudgets.cpp
@@ -3,7 +3,7 @@
 #include <LibPolicy/CrashSuspects.h>
 #include <LibPolicy/FairShare.h>
 #include <LibPolicy/HedgePolicy.h>
-#include <LibPolicy/ReturnRamp.h>
+#include <LibPolicy/SlowStart.h>
 #include <LibPolicy/SplitMix.h>
 #include <LibPolicy/WorkspaceLimiter.h>
 
@@ -21,7 +21,7 @@
 
 } // namespace
 
-// Guards against callers that failed together and come back together, and against a delay below what the other side asked for.
+// Guards against clients that failed at the same time and retry at the same time, and against a delay below the Retry-After.
 TEST(Backoff, GrowsWithJitterAndKeepsRetryAfter)
 {
     SplitMix random(1);
@@ -35,17 +35,17 @@
         equal += first == second ? 1 : 0;
         EXPECT_GE(backoffDelay({}, attempt, random.next(), 3000ms), 3000ms);
     }
-    // Short delays have few different values.
+    // Short delays have few different values, so some are equal by chance.
     EXPECT_LT(equal, 10);
 }
 
-// Guards against a call that must not be repeated being sent twice, and against hedging that doubles the load when everything is slow.
+// Guards against sending a call twice that must not be repeated, and against hedging that doubles the load when all calls are slow.
 TEST(HedgePolicy, HedgesOnlyRepeatableCallsWithinItsBudget)
 {
     HedgePolicy policy;
     EXPECT_FALSE(policy.delay("status", true, Start));
     for (int i = 0; i < 100; ++i) {
-        policy.answered("status", i < 98 ? 10ms : 500ms, Start);
+        policy.recordDuration("status", i < 98 ? 10ms : 500ms, Start);
     }
     const auto delay = policy.delay("status", true, Start);
     ASSERT_TRUE(delay);
@@ -61,8 +61,8 @@
     EXPECT_FALSE(policy.delay("status", true, Start + 1h));
 }
 
-// Guards against a fleet that grants a workspace its limit once per gateway, and against a time to come back at which there is nothing yet.
-TEST(WorkspaceLimiter, FleetStaysWithinTheLimitAndTimesAreTrue)
+// Guards against a fleet that grants a workspace its limit once per gateway, and against a wait time after which the units are not available yet.
+TEST(WorkspaceLimiter, FleetStaysWithinTheLimitAndWaitTimesAreExact)
 {
     constexpr int Gateways = 8;
     std::array<WorkspaceLimiter, Gateways> fleet;
@@ -83,40 +83,40 @@
     EXPECT_EQ(fleet[0].take("w", {}, 1000, Gateways, Start), 0s);
 }
 
-// Guards against a workspace that saves up a claim while it is idle, and against one that gets more by sending more.
-TEST(FairShare, ServesWorkspacesAlternatelyWhateverTheySend)
+// Guards against a workspace that accumulates credit while it is idle, and against one that gets a larger share by sending more.
+TEST(FairShare, ServesWorkspacesAlternatelyHoweverMuchTheySend)
 {
     FairShare share;
     std::vector<std::pair<double, std::string>> queue;
     queue.reserve(15);
     for (int i = 0; i < 10; ++i) {
-        queue.emplace_back(share.enter("many", 100), "many");
+        queue.emplace_back(share.startTag("many", 100), "many");
     }
     for (int i = 0; i < 5; ++i) {
-        queue.emplace_back(share.enter("few", 100), "few");
+        queue.emplace_back(share.startTag("few", 100), "few");
     }
     std::ranges::sort(queue);
     const auto few = std::ranges::count_if(queue.begin(), queue.begin() + 6, [](const auto &entry) { return entry.second == "few"; });
     EXPECT_EQ(few, 3);
     share.served(queue.back().first);
-    EXPECT_GE(share.enter("idle until now", 100), queue.back().first);
+    EXPECT_GE(share.startTag("idle until now", 100), queue.back().first);
 }
 
-// Guards against a data centre that gets more work although its targets are in trouble.
-TEST(ReturnRamp, TroubleRepeatsTheStep)
+// Guards against a data centre that gets more work although its targets are failing.
+TEST(SlowStart, FailureRestartsTheCurrentStep)
 {
-    ReturnRamp ramp({.shares = {0.1, 0.5}, .stepTime = 4000ms});
-    EXPECT_EQ(ramp.share(Start), 1.0);
-    ramp.start(Start);
-    EXPECT_EQ(ramp.share(Start + 3s), 0.1);
-    EXPECT_EQ(ramp.share(Start + 5s), 0.5);
-    ramp.noteTrouble(Start + 7s);
-    EXPECT_EQ(ramp.share(Start + 9s), 0.5);
-    EXPECT_EQ(ramp.share(Start + 12s), 1.0);
+    SlowStart slowStart({.shares = {0.1, 0.5}, .stepTime = 4000ms});
+    EXPECT_EQ(slowStart.share(Start), 1.0);
+    slowStart.start(Start);
+    EXPECT_EQ(slowStart.share(Start + 3s), 0.1);
+    EXPECT_EQ(slowStart.share(Start + 5s), 0.5);
+    slowStart.recordFailure(Start + 7s);
+    EXPECT_EQ(slowStart.share(Start + 9s), 0.5);
+    EXPECT_EQ(slowStart.share(Start + 12s), 1.0);
 }
 
-// Guards against a request that crashes one target after the other, and against refusing the innocent requests that ran beside it.
-TEST(CrashSuspects, RefusesTheOneThatTwoCrashesHaveInCommon)
+// Guards against a poison request that crashes one target after another, and against rejecting the innocent requests that ran next to it.
+TEST(CrashSuspects, RejectsTheRequestThatTwoCrashesHaveInCommon)
 {
     CrashSuspects suspects;
     EXPECT_EQ(suspects.verdict(1, Start).action, Action::Run);
@@ -135,8 +135,8 @@
     EXPECT_TRUE(suspects.reports(10, Start + 700s).empty());
 }
 
-// Guards against blaming a request for two crashes that another request was part of as well, also when only another gateway knows of that one.
-TEST(CrashSuspects, CompanyKnownToAnotherGatewayClearsARequest)
+// Guards against rejecting a request for two crashes that another request was part of as well, even if only another gateway knows that request.
+TEST(CrashSuspects, RequestKnownToAnotherGatewayClearsASuspect)
 {
     CrashSuspects here;
     here.merge({.target = "a", .incarnation = 1, .members = {1}, .running = 2}, Start);
@@ -149,13 +149,13 @@
         here.merge(report, Start + 2s);
     }
     EXPECT_EQ(here.verdict(1, Start + 2s + Settled).action, Action::RunIsolated);
-    // A crash that it was alone in settles it.
+    // A crash in which it ran alone identifies the poison request.
     here.merge({.target = "c", .incarnation = 1, .members = {9}, .running = 1}, Start + 10s);
     EXPECT_EQ(here.verdict(9, Start + 10s + Settled).action, Action::Reject);
     EXPECT_EQ(here.verdict(1, Start + 10s + Settled).action, Action::RunIsolated);
 }
 
-// Guards against requests of different workspaces, models or bodies being taken for the same.
+// Guards against treating requests with different workspaces, models or bodies as the same request.
 TEST(CrashSuspects, FingerprintDependsOnEveryPart)
 {
     const auto print = CrashSuspects::fingerprint("w", "m", "d");
--- a/Tests/LibPolicy/TestCrashSuspects.cpp
+++ b/Tests/LibPolicy/TestCrashSuspects.cpp
@@ -7,8 +7,9 @@
 
 using namespace std::chrono_literals;
 
-// Guards against a request that crashes target after target because its company overlaps in every pair of crashes, although nobody else was part of all.
-TEST(CrashSuspects, RefusesTheOnlyMemberOfAllCrashes)
+// Guards against a poison request that is not found because every two crashes have another request in common, although no other request was part of all
+// crashes.
+TEST(CrashSuspects, RejectsTheOnlyRequestInAllCrashes)
 {
     const MonotonicTime start {1000s};
     CrashSuspects suspects;
--- a/Tests/LibPolicy/TestFleetView.cpp
+++ b/Tests/LibPolicy/TestFleetView.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-// Guards against new work on a target that said it is leaving and then reports without the flag under the same incarnation.
+// Guards against new work on a target that reported that it is leaving and then reports without the flag under the same incarnation.
 TEST(FleetView, LeavingEndsOnlyWithANewIncarnation)
 {
     auto fleet = oneTarget();
@@ -43,7 +43,7 @@
     EXPECT_TRUE(fleet.isUsable(0, Start + 2s));
 }
 
-// Guards against a late report of an earlier incarnation, or one that was overtaken, replacing what is known.
+// Guards against replacing the load state by a late report of an earlier incarnation or by a report that a later one overtook.
 TEST(FleetView, IgnoresReportsThatAreOlderThanTheKnownOne)
 {
     auto fleet = oneTarget();
@@ -53,7 +53,7 @@
 }
 
 // Guards against full load on a target that is cold, that has never reported, or whose report is so old that it may be cold.
-TEST(FleetView, ColdTargetsNeedAPermitAndRoomUnderTheLimit)
+TEST(FleetView, ColdTargetsNeedAPermitAndAFreeSlotUnderTheLimit)
 {
     auto fleet = oneTarget();
     EXPECT_FALSE(fleet.isUsable(0, Start));
@@ -71,21 +71,21 @@
     EXPECT_FALSE(fleet.isUsable(0, Start));
 }
 
-// Guards against a data centre that is out of service still getting work, and against a return with full load at once.
-TEST(FleetView, DataCentreLeavesAtOnceAndReturnsInSteps)
+// Guards against work for a data centre that is out of service, and against full load at once when it returns to service.
+TEST(FleetView, DataCentreStopsAtOnceAndReturnsInSteps)
 {
     auto fleet = oneTarget();
     fleet.reportLoad("e1", warm(1), 0s, Start);
-    EXPECT_DOUBLE_EQ(fleet.returnShare(0, Start), 1.0);
+    EXPECT_DOUBLE_EQ(fleet.slowStartShare(0, Start), 1.0);
     fleet.setDataCentreOut("lahore", true, Start);
     EXPECT_FALSE(fleet.isUsable(0, Start));
     fleet.setDataCentreOut("lahore", false, Start + 1s);
     EXPECT_TRUE(fleet.isUsable(0, Start + 1s));
-    EXPECT_LT(fleet.returnShare(0, Start + 1s), 0.2);
-    EXPECT_DOUBLE_EQ(fleet.returnShare(0, Start + 60s), 1.0);
+    EXPECT_LT(fleet.slowStartShare(0, Start + 1s), 0.2);
+    EXPECT_DOUBLE_EQ(fleet.slowStartShare(0, Start + 60s), 1.0);
 }
 
-// Guards against a slot being reused for another target while own work still refers to it.
+// Guards against reusing a slot for another target while own generations still refer to it.
 TEST(FleetView, SlotOfARemovedTargetIsKeptWhileWorkRunsThere)
 {
     auto fleet = oneTarget();
--- a/Tests/LibPolicy/TestProperties.cpp
+++ b/Tests/LibPolicy/TestProperties.cpp
@@ -14,13 +14,13 @@
 namespace
 {
 
-// RapidCheck reads its settings once, at the first property. The seed is fixed unless the environment gives another one.
+// RapidCheck reads its settings once, at the first property. The seed is fixed unless the environment sets another one.
 [[maybe_unused]] const int SeedIsSet = setenv("RC_PARAMS", "seed=20261204 max_success=60", 0);
 
 constexpr size_t Targets = 6;
 constexpr int ColdLimit = 3;
 
-// Drives a policy with random changes of the fleet and random requests, and keeps its own record of which targets may be chosen.
+// Drives a policy with random changes of the fleet and random requests, and keeps its own model of which targets may be chosen.
 class Driver
 {
 public:
@@ -47,14 +47,14 @@
             changePermits();
             break;
         case 4:
-            endOne();
+            endRandomGeneration();
             break;
         default:
             request();
         }
     }
 
-    // Everything that was decided, in order.
+    // All decisions in order.
     std::vector<std::string> log;
     std::vector<std::string> violations;
 
@@ -101,7 +101,7 @@
                           .cold = target.cold,
                           .leaving = target.leavingByReport && m_random.below(2) == 0});
         if (m_random.below(2) == 0 && target.leavingByReport) {
-            // Makes sure that the policy has seen the flag at least once.
+            // Ensures that the policy has received the flag at least once.
             m_fixture.report(index, {.incarnation = target.incarnation, .running = target.running, .cold = target.cold, .leaving = true});
         } else {
             target.leavingByReport = m_fixture.policy->fleet().target(static_cast<TargetIndex>(index)).leavingByReport;
@@ -134,7 +134,7 @@
         m_fixture.policy->fleet().setColdPermits("t" + std::to_string(index), m_targets[index].permits);
     }
 
-    void endOne()
+    void endRandomGeneration()
     {
         if (m_running.empty()) {
             return;
@@ -153,39 +153,39 @@
     void request()
     {
         const auto number = m_random.below(200);
-        auto made
+        auto placementRequest
             = m_fixture.request("r" + std::to_string(number), number % 3 == 0 ? WorkspaceTier::Trial : WorkspaceTier::Paying, "w" + std::to_string(number % 5));
-        made.kind = number % 2 == 0 ? GenerationKind::Draft : GenerationKind::Suggestion;
-        made.accepted = number % 7 == 0;
-        made.prefixHashes = {number % 4};
-        if (m_running.contains(made.id)) {
+        placementRequest.kind = number % 2 == 0 ? GenerationKind::Draft : GenerationKind::Suggestion;
+        placementRequest.accepted = number % 7 == 0;
+        placementRequest.prefixHashes = {number % 4};
+        if (m_running.contains(placementRequest.id)) {
             return;
         }
-        made.excludedTargets = {"t" + std::to_string(randomTarget())};
+        placementRequest.excludedTargets = {"t" + std::to_string(randomTarget())};
         m_fixture.policy->prefixStored("t" + std::to_string(randomTarget()), number % 4);
-        const auto answer = m_fixture.ask(made);
-        log.push_back(made.id + " " + answer);
-        if (answer == "wait" || answer == "refuse") {
+        const auto result = m_fixture.place(placementRequest);
+        log.push_back(placementRequest.id + " " + result);
+        if (result == "wait" || result == "reject") {
             return;
         }
-        const size_t index = std::stoul(answer.substr(1));
-        check(made, index);
+        const size_t index = std::stoul(result.substr(1));
+        check(placementRequest, index);
         ++m_targets[index].own;
-        m_running[made.id] = index;
+        m_running[placementRequest.id] = index;
     }
 
-    void check(const PlacementRequest &made, size_t index)
+    void check(const PlacementRequest &placementRequest, size_t index)
     {
         const auto &target = m_targets[index];
         const auto &description = m_fixture.policy->fleet().target(static_cast<TargetIndex>(index)).description;
         const auto require = [&](bool holds, const std::string &text) {
             if (!holds) {
-                violations.push_back(made.id + " on " + description.name + ": " + text);
+                violations.push_back(placementRequest.id + " on " + description.name + ": " + text);
             }
         };
         require(!target.leavingByReport && !target.leavingByVm, "is leaving");
         require(!m_out[description.dataCentre], "is out of service");
-        require(description.name != made.excludedTargets.front(), "is excluded");
+        require(description.name != placementRequest.excludedTargets.front(), "is excluded");
         const bool stale = target.reported != MonotonicTime() && m_fixture.now - target.reported > LoadReportLifetime;
         if (target.cold || stale) {
             require(target.own < target.permits, "has no permit");
@@ -200,11 +200,11 @@
     std::map<std::string, size_t> m_running;
 };
 
-// One engine whose generations run for a while, and workspaces whose callers come back when they are told to.
+// One engine whose generations take several seconds, and workspaces whose callers retry at the time that they are given.
 struct BusyEngine {
     PolicyFixture fixture {1};
     SplitMix random;
-    std::multimap<MonotonicTime, PlacementRequest> asks;
+    std::multimap<MonotonicTime, PlacementRequest> scheduledRequests;
     std::multimap<MonotonicTime, std::string> ends;
     std::map<std::string, int> served;
     int64_t used = 0;
@@ -214,20 +214,20 @@
     {
     }
 
-    void ask(const PlacementRequest &made)
+    void place(const PlacementRequest &placementRequest)
     {
-        const auto decision = fixture.policy->place(made, fixture.now, random.next());
+        const auto decision = fixture.policy->place(placementRequest, fixture.now, random.next());
         if (std::holds_alternative<PlaceOnTarget>(decision)) {
-            ++served[made.workspace];
-            used += made.promptTokens;
-            ends.emplace(fixture.now + std::chrono::seconds(5 + random.below(20)), made.id);
-            auto next = made;
+            ++served[placementRequest.workspace];
+            used += placementRequest.promptTokens;
+            ends.emplace(fixture.now + std::chrono::seconds(5 + random.below(20)), placementRequest.id);
+            auto next = placementRequest;
             next.id += "+";
-            asks.emplace(fixture.now + 10ms, next);
+            scheduledRequests.emplace(fixture.now + 10ms, next);
         } else if (const auto *wait = std::get_if<WaitUntil>(&decision)) {
-            asks.emplace(wait->time, made);
+            scheduledRequests.emplace(wait->time, placementRequest);
         } else {
-            asks.emplace(fixture.now + std::get<RejectRequest>(decision).retryAfter, made);
+            scheduledRequests.emplace(fixture.now + std::get<RejectRequest>(decision).retryAfter, placementRequest);
         }
     }
 
@@ -243,10 +243,10 @@
             }
             // The report advances the time of the fixture by 300 ms.
             fixture.report(0, {.running = static_cast<int>(ends.size()), .memoryUsed = used});
-            while (!asks.empty() && asks.begin()->first <= fixture.now) {
-                const auto made = asks.begin()->second;
-                asks.erase(asks.begin());
-                ask(made);
+            while (!scheduledRequests.empty() && scheduledRequests.begin()->first <= fixture.now) {
+                const auto placementRequest = scheduledRequests.begin()->second;
+                scheduledRequests.erase(scheduledRequests.begin());
+                place(placementRequest);
             }
         }
     }
@@ -281,14 +281,14 @@
     RC_ASSERT(first.log == second.log);
 }
 
-// Guards against trial work in memory that paying drafts are forecast to need: what trial work leaves free is at least the part of the peak of paying
-// demand that is not on the target yet.
+// Guards against trial work in memory that paying drafts are forecast to need: trial work must leave free at least the part of the peak paying demand that is
+// not yet on the target.
 RC_GTEST_PROP(Properties, TrialLeavesTheForecastPayingDemandFree, (uint64_t seed))
 {
     SplitMix random(seed);
     PolicyFixture fixture(Targets);
     std::array<int64_t, Targets> used {};
-    // The survey that follows the second round has seen all of the first.
+    // The survey in the second round includes all reports of the first.
     for (int round = 0; round < 2; ++round) {
         for (size_t i = 0; i < Targets; ++i) {
             if (round == 0) {
@@ -298,31 +298,31 @@
             fixture.report(i, {.running = 10, .memoryUsed = used[i]});
         }
     }
-    // All of it counts as paying, as the gateway knows of no trial work.
+    // All of it is assumed to be paying work, because the gateway has no trial work of its own.
     const int64_t demand = std::accumulate(used.begin(), used.end(), int64_t {0}) / static_cast<int64_t>(Targets);
     auto trial = fixture.request("trial", WorkspaceTier::Trial, "trial");
     trial.promptTokens = 100 + random.below(5000);
-    const auto answer = fixture.ask(trial);
-    if (answer != "wait" && answer != "refuse") {
-        const size_t index = std::stoul(answer.substr(1));
+    const auto result = fixture.place(trial);
+    if (result != "wait" && result != "reject") {
+        const size_t index = std::stoul(result.substr(1));
         const int64_t missing = std::max<int64_t>(0, demand - used[index]);
         RC_ASSERT(used[index] + trial.promptTokens <= 10000 - missing);
     }
 }
 
 // Guards against starvation: with paying work that would fill the engine several times over, every workspace of every class is served again and again.
-RC_GTEST_PROP(Properties, NobodyStarves, (uint64_t seed))
+RC_GTEST_PROP(Properties, NoWorkspaceStarves, (uint64_t seed))
 {
     BusyEngine engine(seed);
     for (int i = 0; i < 60; ++i) {
-        auto made = engine.fixture.request("r" + std::to_string(i), WorkspaceTier::Paying, "paying" + std::to_string(i % 3));
-        made.promptTokens = 600;
-        engine.asks.emplace(engine.fixture.now, made);
+        auto placementRequest = engine.fixture.request("r" + std::to_string(i), WorkspaceTier::Paying, "paying" + std::to_string(i % 3));
+        placementRequest.promptTokens = 600;
+        engine.scheduledRequests.emplace(engine.fixture.now, placementRequest);
     }
     for (const std::string workspace : {"trial0", "trial1"}) {
-        auto made = engine.fixture.request(workspace, WorkspaceTier::Trial, workspace);
-        made.promptTokens = 600;
-        engine.asks.emplace(engine.fixture.now, made);
+        auto placementRequest = engine.fixture.request(workspace, WorkspaceTier::Trial, workspace);
+        placementRequest.promptTokens = 600;
+        engine.scheduledRequests.emplace(engine.fixture.now, placementRequest);
     }
     engine.run(300s);
     const auto before = engine.served;
@@ -333,7 +333,8 @@
     RC_ASSERT(engine.served["paying0"] > engine.served["trial0"]);
 }
 
-// Guards against a retry storm: whatever happens in whatever order, the retries of all gateways stay below the share of the successes plus the floor.
+// Guards against a retry storm: for every order of successes and failures, the retries of all gateways stay below the share of the successes plus the minimum
+// rate.
 RC_GTEST_PROP(Properties, BudgetsBoundRetries, (uint64_t seed))
 {
     constexpr int Gateways = 5;
@@ -350,12 +351,12 @@
         if (random.below(100) < percentFailing) {
             retries += budget.tryRetry(Gateways, now) ? 1 : 0;
         } else {
-            budget.noteSuccess();
+            budget.recordSuccess();
             ++successes;
         }
     }
     const double seconds = std::chrono::duration<double>(now - Start).count();
-    RC_ASSERT(retries <= options.share * successes + options.floorPerSecond * (seconds + 1) + Gateways);
+    RC_ASSERT(retries <= options.share * successes + options.minRetriesPerSecond * (seconds + 1) + Gateways);
 }
 
 } // namespace Jujube
--- a/Utilities/PolicyBenchmark/PolicyBenchmark.cpp
+++ b/Utilities/PolicyBenchmark/PolicyBenchmark.cpp
@@ -23,7 +23,7 @@
     Half = 50,
     // Present memory fits and forecasts do not, so every forecast is computed.
     NearlyFull = 94,
-    // Every target is full, so every decision looks at all distances and ends with a wait or a refusal.
+    // Every target is full, so every decision searches all distances and ends with a wait or a rejection.
     Full = 100,
 };
 
@@ -97,7 +97,7 @@
     state.counters["p99_us"] = 1e6 * times[times.size() * 99 / 100];
 }
 
-// Time of taking in one load report, with the surveys that follow reports.
+// Time to process one load report, including the surveys that reports trigger.
 void report(benchmark::State &state)
 {
     auto policy = makePlacementPolicy({});
@@ -113,7 +113,7 @@
     }
 }
 
-// Time of taking in one token, with the new forecast that is made for some of them.
+// Time to process one token, including the forecasts that some tokens renew.
 void token(benchmark::State &state)
 {
     auto policy = makePlacementPolicy({});
--- a/Utilities/PolicyBenchmark/Simulation/FleetSimulation.cpp
+++ b/Utilities/PolicyBenchmark/Simulation/FleetSimulation.cpp
@@ -18,11 +18,11 @@
 
 constexpr milliseconds Tick {50};
 constexpr milliseconds StallThreshold {200};
-// Prompt tokens that an engine reads per tick and generation.
-constexpr int64_t ReadPerTick = 400;
-// An engine keeps this part of its memory free when it admits, so that it does not preempt at once what it has just admitted.
-constexpr int64_t Watermark = 100;
-constexpr int MostRefusals = 6;
+// Tokens that an engine prefills per tick and generation.
+constexpr int64_t PrefillTokensPerTick = 400;
+// An engine admits a generation only if its memory divided by this stays free, so that it does not preempt the generation at once.
+constexpr int64_t WatermarkDivisor = 100;
+constexpr int MaxRejections = 6;
 constexpr int PayingWorkspaces = 7;
 constexpr int Workspaces = 10;
 constexpr int DataCentres = 3;
@@ -34,15 +34,15 @@
     int gateway = 0;
     int64_t length = 0;
     int64_t produced = 0;
-    int refusals = 0;
+    int rejections = 0;
     MonotonicTime arrived;
     MonotonicTime lastToken;
-    MonotonicTime nextAsk;
-    bool gone = false;
+    MonotonicTime nextPlacement;
+    bool hasGivenUp = false;
     int engine = -1;
     uint64_t admitted = 0;
-    // Text that still has to be read before the next token.
-    int64_t toRead = 0;
+    // Tokens that still have to be prefilled before the next token is produced.
+    int64_t prefillLeft = 0;
 
     int64_t memory() const
     {
@@ -84,8 +84,8 @@
                     policy->fleet().setDataCentreOut("dc0", out, m_now);
                 }
             }
-            arrive();
-            askAgain();
+            addArrivals();
+            retryPlacements();
             for (auto &engine : m_engines) {
                 step(engine);
             }
@@ -101,7 +101,7 @@
     }
 
 private:
-    bool measured() const
+    bool isMeasured() const
     {
         return m_now >= m_start + m_options.warmUp;
     }
@@ -124,7 +124,7 @@
         }
     }
 
-    void arrive()
+    void addArrivals()
     {
         std::poisson_distribution<int> arrivals(m_options.rate * std::chrono::duration<double>(Tick).count());
         std::uniform_real_distribution<double> unit;
@@ -132,7 +132,7 @@
             auto job = std::make_unique<Job>();
             const bool trial = unit(m_random) < m_options.trialShare;
             const bool suggestion = unit(m_random) < m_options.suggestionShare;
-            // A few workspaces are large.
+            // A few workspaces send most of the requests.
             const int paying = static_cast<int>(PayingWorkspaces * unit(m_random) * unit(m_random));
             const int workspace = trial ? PayingWorkspaces + static_cast<int>((Workspaces - PayingWorkspaces) * unit(m_random)) : paying;
             const double median = suggestion ? 40 : 250 * (1 + workspace % 4);
@@ -151,68 +151,68 @@
             request.dataCentre = "dc" + std::to_string(job->gateway % DataCentres);
             request.region = request.dataCentre;
             job->workClass = workClassOf(request.tier, request.kind);
-            ask(*job);
+            place(*job);
             m_jobs.emplace(request.id, std::move(job));
         }
     }
 
-    void ask(Job &job)
+    void place(Job &job)
     {
         auto &policy = *m_policies[job.gateway];
         const auto decision = policy.place(job.request, m_now, m_random());
         if (const auto *placed = std::get_if<PlaceOnTarget>(&decision)) {
             job.engine = std::stoi(placed->target);
-            job.toRead = job.memory();
+            job.prefillLeft = job.memory();
             m_engines[job.engine].waiting.push_back(&job);
         } else if (const auto *wait = std::get_if<WaitUntil>(&decision)) {
-            job.nextAsk = wait->time;
-            m_asks.emplace(job.nextAsk, job.request.id);
+            job.nextPlacement = wait->time;
+            m_scheduledPlacements.emplace(job.nextPlacement, job.request.id);
         } else {
-            if (measured()) {
-                ++m_result.refused[indexOf(job.workClass)];
+            if (isMeasured()) {
+                ++m_result.rejected[indexOf(job.workClass)];
             }
             const auto retry = std::get<RejectRequest>(decision).retryAfter;
-            if (++job.refusals > MostRefusals) {
-                if (measured()) {
+            if (++job.rejections > MaxRejections) {
+                if (isMeasured()) {
                     ++m_result.givenUp[indexOf(job.workClass)];
                 }
-                job.gone = true;
-                m_gone.push_back(job.request.id);
+                job.hasGivenUp = true;
+                m_givenUpIds.push_back(job.request.id);
                 return;
             }
-            job.nextAsk = m_now + retry;
-            m_asks.emplace(job.nextAsk, job.request.id);
+            job.nextPlacement = m_now + retry;
+            m_scheduledPlacements.emplace(job.nextPlacement, job.request.id);
         }
     }
 
-    // Asks for a request that still waits. A time given by an earlier answer than the last one is void.
-    void askIfWaiting(const std::string &id, std::optional<MonotonicTime> due = std::nullopt)
+    // Places a request that still waits. A time that was scheduled by an earlier decision than the last one is ignored.
+    void placeIfWaiting(const std::string &id, std::optional<MonotonicTime> due = std::nullopt)
     {
         const auto known = m_jobs.find(id);
-        const bool isVoid = known == m_jobs.end() || known->second->gone || (due && *due != known->second->nextAsk);
+        const bool isVoid = known == m_jobs.end() || known->second->hasGivenUp || (due && *due != known->second->nextPlacement);
         if (!isVoid && known->second->engine < 0) {
-            ask(*known->second);
+            place(*known->second);
         }
     }
 
-    void askAgain()
+    void retryPlacements()
     {
         for (auto &policy : m_policies) {
             for (auto ready = policy->takeReady(m_now); !ready.empty(); ready = policy->takeReady(m_now)) {
                 for (const auto &id : ready) {
-                    askIfWaiting(id);
+                    placeIfWaiting(id);
                 }
             }
         }
-        while (!m_asks.empty() && m_asks.begin()->first <= m_now) {
-            const auto [due, id] = *m_asks.begin();
-            m_asks.erase(m_asks.begin());
-            askIfWaiting(id, due);
+        while (!m_scheduledPlacements.empty() && m_scheduledPlacements.begin()->first <= m_now) {
+            const auto [due, id] = *m_scheduledPlacements.begin();
+            m_scheduledPlacements.erase(m_scheduledPlacements.begin());
+            placeIfWaiting(id, due);
         }
-        for (const auto &id : m_gone) {
+        for (const auto &id : m_givenUpIds) {
             m_jobs.erase(id);
         }
-        m_gone.clear();
+        m_givenUpIds.clear();
     }
 
     void step(Engine &engine)
@@ -220,8 +220,8 @@
         admit(engine);
         for (size_t i = 0; i < engine.running.size(); ++i) {
             auto &job = *engine.running[i];
-            if (job.toRead > 0) {
-                job.toRead -= ReadPerTick;
+            if (job.prefillLeft > 0) {
+                job.prefillLeft -= PrefillTokensPerTick;
                 continue;
             }
             produce(engine, job);
@@ -237,7 +237,7 @@
     void admit(Engine &engine)
     {
         std::ranges::stable_sort(engine.waiting, {}, [](const Job *job) { return job->workClass; });
-        while (!engine.waiting.empty() && engine.used + engine.waiting.front()->memory() + m_options.memory / Watermark <= m_options.memory) {
+        while (!engine.waiting.empty() && engine.used + engine.waiting.front()->memory() + m_options.memory / WatermarkDivisor <= m_options.memory) {
             auto *job = engine.waiting.front();
             engine.waiting.erase(engine.waiting.begin());
             engine.used += job->memory();
@@ -250,9 +250,9 @@
     {
         const bool payingDraft = job.workClass == WorkClass::PayingDraft;
         const std::chrono::duration<double> gap = m_now - (job.produced == 0 ? job.arrived : job.lastToken);
-        if (measured() && job.produced == 0) {
+        if (isMeasured() && job.produced == 0) {
             (payingDraft ? m_firstTokens : m_trialFirstTokens).push_back(gap.count());
-        } else if (measured() && payingDraft) {
+        } else if (isMeasured() && payingDraft) {
             m_gaps.push_back(1000 * gap.count());
             m_result.stallSeconds += std::max(0.0, gap.count() - std::chrono::duration<double>(StallThreshold).count());
         }
@@ -267,7 +267,7 @@
         auto &job = *engine.running[position];
         engine.running.erase(engine.running.begin() + static_cast<std::ptrdiff_t>(position));
         engine.used -= job.memory();
-        if (measured()) {
+        if (isMeasured()) {
             ++m_result.finished[indexOf(job.workClass)];
             m_result.usefulTokens += job.length;
         }
@@ -281,10 +281,10 @@
         auto *job = *victim;
         engine.running.erase(victim);
         engine.used -= job->memory();
-        job->toRead = job->memory();
+        job->prefillLeft = job->memory();
         engine.waiting.push_back(job);
         ++engine.preemptions;
-        if (measured()) {
+        if (isMeasured()) {
             ++m_result.preempted[indexOf(job->workClass)];
         }
     }
@@ -316,16 +316,16 @@
         }
         std::erase(old.waiting, &job);
         job.engine = std::stoi(placed->target);
-        job.toRead = job.memory();
+        job.prefillLeft = job.memory();
         m_engines[job.engine].waiting.push_back(&job);
-        if (measured()) {
+        if (isMeasured()) {
             ++m_result.moved[indexOf(job.workClass)];
         }
     }
 
     void report()
     {
-        // Reports reach the gateways two ticks after they were taken.
+        // Load reports reach the gateways two ticks after they were measured.
         constexpr size_t LagTicks = 2;
         for (size_t i = 0; i < m_engines.size(); ++i) {
             auto &engine = m_engines[i];
@@ -352,8 +352,8 @@
     std::vector<Engine> m_engines;
     std::vector<std::unique_ptr<PlacementPolicy>> m_policies;
     std::map<std::string, std::unique_ptr<Job>> m_jobs;
-    std::multimap<MonotonicTime, std::string> m_asks;
-    std::vector<std::string> m_gone;
+    std::multimap<MonotonicTime, std::string> m_scheduledPlacements;
+    std::vector<std::string> m_givenUpIds;
     const MonotonicTime m_start {std::chrono::hours(1)};
     MonotonicTime m_now;
     uint64_t m_sequence = 0;
--- a/Utilities/PolicyBenchmark/Simulation/FleetSimulation.h
+++ b/Utilities/PolicyBenchmark/Simulation/FleetSimulation.h
@@ -32,8 +32,8 @@
     std::array<int64_t, WorkClassCount> finished {};
     std::array<int64_t, WorkClassCount> preempted {};
     std::array<int64_t, WorkClassCount> moved {};
-    // Attempts that were refused, and requests that were given up after several refusals.
-    std::array<int64_t, WorkClassCount> refused {};
+    // Rejected attempts, and requests that were given up after several rejections.
+    std::array<int64_t, WorkClassCount> rejected {};
     std::array<int64_t, WorkClassCount> givenUp {};
     // Sums over all gaps above 200 ms of paying drafts, in seconds.
     double stallSeconds = 0;
@@ -43,8 +43,8 @@
     double trialFirstTokenP95 = 0;
 };
 
-// Runs a model of gateways and engines in simulated time. An engine makes one token per running generation every 50 ms, and preempts the least important
-// and newest generation when its memory is full; a preempted generation waits for room and has its text read again.
+// Simulates gateways and engines. An engine produces one token per running generation every 50 ms of simulated time, and preempts the least important and
+// newest generation when its memory is full. A preempted generation waits for free memory and repeats its prefill.
 SimulationResult runSimulation(const SimulationOptions &options);
 
 } // namespace Jujube
--- a/Utilities/PolicyBenchmark/Simulation/main.cpp
+++ b/Utilities/PolicyBenchmark/Simulation/main.cpp
@@ -15,7 +15,7 @@
     std::function<void(PlacementOptions &)> apply;
 };
 
-// The baselines, the policy, and the policy without each of its parts.
+// The baselines, the policy, and the policy without each of its parts. The names are part of the output and stay when an option is renamed.
 std::vector<Variant> variants()
 {
     const auto kind = [](PlacementPolicyKind policyKind) { return [policyKind](PlacementOptions &options) { options.kind = policyKind; }; };
@@ -32,9 +32,9 @@
         {"-reserveForPaying", without(&MemoryForecastOptions::reserveForPaying)},
         {"-fairShares", without(&MemoryForecastOptions::fairShares)},
         {"-aging", without(&MemoryForecastOptions::aging)},
-        {"-earlyRefusal", without(&MemoryForecastOptions::earlyRefusal)},
+        {"-earlyRefusal", without(&MemoryForecastOptions::earlyRejection)},
         {"-distance", without(&MemoryForecastOptions::distance)},
-        {"-returnRamp", without(&MemoryForecastOptions::returnRamp)},
+        {"-returnRamp", without(&MemoryForecastOptions::slowStart)},
         {"-moves", without(&MemoryForecastOptions::moves)},
         {"-sampling", without(&MemoryForecastOptions::sampling)},
     };
@@ -59,7 +59,7 @@
     for (size_t i = 0; i < WorkClassCount; ++i) {
         std::printf("  %lld/%lld/%lld",
                     static_cast<long long>(result.finished[i]),
-                    static_cast<long long>(result.refused[i]),
+                    static_cast<long long>(result.rejected[i]),
                     static_cast<long long>(result.givenUp[i]));
     }
     std::printf("\n");
@@ -68,7 +68,7 @@
 
 } // namespace
 
-// Prints one line per policy and seed. Figures are those of a model, not of a fleet.
+// Prints one line per policy and seed. The results are those of a simulation, not of a real fleet.
 int main(int argc, char **argv)
 {
     cxxopts::Options flags("jujube-policy-simulation", "Compares placement policies on simulated engines.");
--- a/Utilities/RelayBenchmark/RelayBenchmark.cpp
+++ b/Utilities/RelayBenchmark/RelayBenchmark.cpp
@@ -59,7 +59,7 @@
     balancer.setPeerLoads("peer", loads);
 }
 
-// Time of one placement. Each run that is placed stays until 300 later ones have been.
+// Time of one placement. Each run ends after 300 later ones have been placed.
 void place(benchmark::State &state)
 {
     SplitMix random(1);
@@ -93,7 +93,7 @@
     state.counters["p99_us"] = MicrosecondsPerSecond * times[times.size() * 99 / 100];
 }
 
-// Time of encoding a heartbeat with loads on 50 targets and a number of targets that are new, as after an outage of the store.
+// Time to encode a heartbeat with loads on 50 targets and the given number of new targets, as after an outage of the store.
 void encodeHeartbeat(benchmark::State &state)
 {
     constexpr int Loads = 50;
