--- a/Libraries/LibPolicy/BaselinePolicy.cpp
+++ b/Libraries/LibPolicy/BaselinePolicy.cpp
@@ -27,10 +27,10 @@
     if (request.accepted) {
         return WaitUntil {now + options().pollTime};
     }
-    return RefuseRequest {.kind = anyLive ? ErrorKind::Overloaded : ErrorKind::TargetUnavailable, .retryAfter = std::chrono::seconds(1)};
+    return RejectRequest {.kind = anyLive ? ErrorKind::Overloaded : ErrorKind::TargetUnavailable, .retryAfter = std::chrono::seconds(1)};
 }
 
-TargetIndex BaselinePolicy::lowest(std::span<const TargetIndex> usable, uint64_t random, const std::function<double(TargetIndex)> &cost)
+TargetIndex BaselinePolicy::lowestCostTarget(std::span<const TargetIndex> usable, uint64_t random, const std::function<double(TargetIndex)> &cost)
 {
     const size_t offset = random % usable.size();
     TargetIndex best = usable[offset];
--- a/Tests/LibPolicy/TestCrashSuspects.cpp
+++ b/Tests/LibPolicy/TestCrashSuspects.cpp
@@ -7,8 +7,9 @@
 
 using namespace std::chrono_literals;
 
-// Guards against a request that crashes target after target because its company overlaps in every pair of crashes, although nobody else was part of all.
-TEST(CrashSuspects, RefusesTheOnlyMemberOfAllCrashes)
+// Guards against a poison request that is not found because every two crashes have another request in common, although no other request was part of all
+// crashes.
+TEST(CrashSuspects, RejectsTheOnlyRequestInAllCrashes)
 {
     const MonotonicTime start {1000s};
     CrashSuspects suspects;
@@ -17,7 +18,7 @@
     EXPECT_EQ(suspects.verdict(1, start + 10s).action, CrashVerdict::Action::RunIsolated);
     suspects.merge({.target = "c", .incarnation = 1, .members = {1, 3, 4}, .running = 3}, start + 2s);
     EXPECT_EQ(suspects.verdict(1, start + 3s).action, CrashVerdict::Action::Wait);
-    EXPECT_EQ(suspects.verdict(1, start + 10s).action, CrashVerdict::Action::Refuse);
+    EXPECT_EQ(suspects.verdict(1, start + 10s).action, CrashVerdict::Action::Reject);
     for (const uint64_t innocent : {2, 3, 4}) {
         EXPECT_EQ(suspects.verdict(innocent, start + 10s).action, CrashVerdict::Action::RunIsolated);
     }
