--- a/Libraries/LibRelay/ColdRate.cpp
+++ b/Libraries/LibRelay/ColdTargetRateLimiter.cpp
@@ -1,9 +1,9 @@
-#include <LibRelay/ColdRate.h>
+#include <LibRelay/ColdTargetRateLimiter.h>
 
 #include <algorithm>
 #include <cmath>
 #include <LibPolicy/SplitMix.h>
-#include <LibRelay/GatewayShare.h>
+#include <LibRelay/RelayShare.h>
 #include <xxhash.h>
 
 namespace Jujube
@@ -13,21 +13,21 @@
 {
 
 // Part of the rate that is given out; above one, because not all gateways choose the same target at once.
-constexpr double UsedShare = 1.2;
+constexpr double OvercommitFactor = 1.2;
 
 } // namespace
 
-int ColdRate::share(double coldPerSecond, int liveGateways)
+int ColdTargetRateLimiter::share(double coldPerSecond, int liveRelays)
 {
-    return std::max(1, static_cast<int>(std::floor(UsedShare * gatewayShare(coldPerSecond, liveGateways))));
+    return std::max(1, static_cast<int>(std::floor(OvercommitFactor * relayShare(coldPerSecond, liveRelays))));
 }
 
-int ColdRate::coldShare(double coldPerSecond, const ColdSharers &sharers, std::string_view target)
+int ColdTargetRateLimiter::coldShare(double coldPerSecond, const ColdRateParticipants &sharers, std::string_view target)
 {
-    if (!sharers.isSettled) {
+    if (!sharers.hasDiscoveredPeers) {
         return 0;
     }
-    const auto starts = std::max<size_t>(1, static_cast<size_t>(std::floor(UsedShare * coldPerSecond)));
+    const auto starts = std::max<size_t>(1, static_cast<size_t>(std::floor(OvercommitFactor * coldPerSecond)));
     const auto gateways = sharers.others.size() + 1;
     if (gateways < starts) {
         return share(coldPerSecond, static_cast<int>(gateways));
@@ -39,28 +39,28 @@
     return static_cast<size_t>(before) < starts ? 1 : 0;
 }
 
-bool ColdRate::mayTake(const std::string &target, int share, MonotonicTime now) const
+bool ColdTargetRateLimiter::isWithinShare(const std::string &target, int share, MonotonicTime now) const
 {
-    const auto found = m_taken.find(target);
-    if (found == m_taken.end()) {
+    const auto found = m_starts.find(target);
+    if (found == m_starts.end()) {
         return share > 0;
     }
     const auto recent = std::count_if(found->second.begin(), found->second.end(), [&](MonotonicTime time) { return now - time < Window; });
     return recent < share;
 }
 
-void ColdRate::noteTaken(const std::string &target, MonotonicTime now)
+void ColdTargetRateLimiter::recordStart(const std::string &target, MonotonicTime now)
 {
-    auto &times = m_taken[target];
+    auto &times = m_starts[target];
     times.push_back(now);
     while (now - times.front() >= Window) {
         times.pop_front();
     }
 }
 
-void ColdRate::expire(MonotonicTime now)
+void ColdTargetRateLimiter::expire(MonotonicTime now)
 {
-    absl::erase_if(m_taken, [&](const auto &entry) { return now - entry.second.back() >= Window; });
+    absl::erase_if(m_starts, [&](const auto &entry) { return now - entry.second.back() >= Window; });
 }
 
 } // namespace Jujube
--- a/Libraries/LibRelay/DrainAdmission.cpp
+++ b/Libraries/LibRelay/DrainAdmission.cpp
@@ -6,11 +6,11 @@
 std::chrono::milliseconds DrainAdmission::expectedTime(const RunDemand &demand) const
 {
     if (demand.promptTokens == 0) {
-        return callTime;
+        return callDuration;
     }
     const double prefill = static_cast<double>(demand.promptTokens) / prefillTokensPerMs;
     const double output = lengthFactor * static_cast<double>(demand.expectedTokens) * std::chrono::duration<double, std::milli>(timePerToken).count();
-    return waitTime + std::chrono::milliseconds(static_cast<int64_t>(prefill + output));
+    return queueTime + std::chrono::milliseconds(static_cast<int64_t>(prefill + output));
 }
 
 bool DrainAdmission::admits(const RunDemand &demand, MonotonicTime stopAt, MonotonicTime now) const
--- a/Libraries/LibRelay/DrainAdmission.h
+++ b/Libraries/LibRelay/DrainAdmission.h
@@ -14,9 +14,9 @@
     // Time of one output token on a busy engine.
     std::chrono::microseconds timePerToken {10500};
     // Longest time of a call that is not a generation, in all but a few cases.
-    std::chrono::milliseconds callTime {1500};
+    std::chrono::milliseconds callDuration {1500};
     // Longest time that a generation waits for its engine, in all but a few cases.
-    std::chrono::milliseconds waitTime {2000};
+    std::chrono::milliseconds queueTime {2000};
     // Output lengths are estimates; most outputs are shorter than this many times the estimate.
     double lengthFactor = 1.3;
 
--- a/Libraries/LibRelay/EventSplitter.cpp
+++ b/Libraries/LibRelay/EventSplitter.cpp
@@ -40,7 +40,7 @@
         if (end == std::string_view::npos) {
             break;
         }
-        noteEvent(rest.substr(0, end));
+        recordEvent(rest.substr(0, end));
         if (m_outOfOrder) {
             break;
         }
@@ -51,7 +51,7 @@
     return events;
 }
 
-void EventSplitter::noteEvent(std::string_view event)
+void EventSplitter::recordEvent(std::string_view event)
 {
     for (const auto line : absl::StrSplit(toAbsl(event), '\n')) {
         int64_t id = 0;
@@ -67,7 +67,7 @@
     ++m_count;
 }
 
-void EventSplitter::restart()
+void EventSplitter::discardPartialEvent()
 {
     m_partial.clear();
 }
--- a/Libraries/LibRelay/EventSplitter.h
+++ b/Libraries/LibRelay/EventSplitter.h
@@ -43,17 +43,17 @@
     // The bytes behind the last whole event are too many for one event.
     bool isTooLong() const
     {
-        return m_partial.size() > MostEventBytes;
+        return m_partial.size() > MaxEventBytes;
     }
 
     // The stream goes on from another target after the last whole event.
-    void restart();
+    void discardPartialEvent();
 
 private:
     // Engines send events of some hundred bytes.
-    static constexpr size_t MostEventBytes = 64 * 1024;
+    static constexpr size_t MaxEventBytes = 64 * 1024;
 
-    void noteEvent(std::string_view event);
+    void recordEvent(std::string_view event);
 
     std::string m_partial;
     std::optional<int64_t> m_lastId;
--- a/Libraries/LibRelay/MoveSchedule.cpp
+++ b/Libraries/LibRelay/MigrationSchedule.cpp
@@ -1,4 +1,4 @@
-#include <LibRelay/MoveSchedule.h>
+#include <LibRelay/MigrationSchedule.h>
 
 #include <algorithm>
 
@@ -9,26 +9,26 @@
 {
 
 // An engine that leaves is gone by then.
-constexpr std::chrono::seconds LeavingMemory {20};
+constexpr std::chrono::seconds LeavingTargetRetention {20};
 
 } // namespace
 
-void MoveSchedule::targetLeaves(const std::string &target, std::chrono::milliseconds wait, MonotonicTime now)
+void MigrationSchedule::addLeavingTarget(const std::string &target, std::chrono::milliseconds wait, MonotonicTime now)
 {
-    m_targets.try_emplace(target, Leaving {.since = now, .turnAt = now + wait});
+    m_leavingTargets.try_emplace(target, Leaving {.since = now, .turnAt = now + wait});
 }
 
-void MoveSchedule::add(const std::string &target, const std::string &request, double value)
+void MigrationSchedule::add(const std::string &target, const std::string &request, double value)
 {
-    const auto found = m_targets.find(target);
-    if (found != m_targets.end() && found->second.active != request) {
+    const auto found = m_leavingTargets.find(target);
+    if (found != m_leavingTargets.end() && found->second.active != request) {
         found->second.waiting.push_back({.request = request, .value = value});
     }
 }
 
-void MoveSchedule::remove(const std::string &request)
+void MigrationSchedule::remove(const std::string &request)
 {
-    for (auto &[target, leaving] : m_targets) {
+    for (auto &[target, leaving] : m_leavingTargets) {
         std::erase_if(leaving.waiting, [&](const Waiting &waiting) { return waiting.request == request; });
         if (leaving.active == request) {
             leaving.active.clear();
@@ -36,18 +36,18 @@
     }
 }
 
-void MoveSchedule::release(const std::string &target, MonotonicTime now)
+void MigrationSchedule::grantTurn(const std::string &target, MonotonicTime now)
 {
-    const auto found = m_targets.find(target);
-    if (found != m_targets.end()) {
+    const auto found = m_leavingTargets.find(target);
+    if (found != m_leavingTargets.end()) {
         found->second.turnAt = std::min(found->second.turnAt, now);
     }
 }
 
-std::vector<std::string> MoveSchedule::waitingTargets(MonotonicTime now) const
+std::vector<std::string> MigrationSchedule::waitingTargets(MonotonicTime now) const
 {
     std::vector<std::string> targets;
-    for (const auto &[target, leaving] : m_targets) {
+    for (const auto &[target, leaving] : m_leavingTargets) {
         if (leaving.turnAt > now && !leaving.waiting.empty()) {
             targets.push_back(target);
         }
@@ -55,10 +55,10 @@
     return targets;
 }
 
-std::vector<std::string> MoveSchedule::takeDue(MonotonicTime now)
+std::vector<std::string> MigrationSchedule::takeDue(MonotonicTime now)
 {
     std::vector<std::string> due;
-    for (auto &[target, leaving] : m_targets) {
+    for (auto &[target, leaving] : m_leavingTargets) {
         if (!leaving.active.empty() || leaving.waiting.empty() || now < leaving.turnAt) {
             continue;
         }
@@ -71,10 +71,10 @@
     return due;
 }
 
-std::optional<MonotonicTime> MoveSchedule::nextTime() const
+std::optional<MonotonicTime> MigrationSchedule::nextDueTime() const
 {
     std::optional<MonotonicTime> next;
-    for (const auto &[target, leaving] : m_targets) {
+    for (const auto &[target, leaving] : m_leavingTargets) {
         if (leaving.active.empty() && !leaving.waiting.empty()) {
             next = next ? std::min(*next, leaving.turnAt) : leaving.turnAt;
         }
@@ -82,9 +82,9 @@
     return next;
 }
 
-void MoveSchedule::expire(MonotonicTime now)
+void MigrationSchedule::expire(MonotonicTime now)
 {
-    absl::erase_if(m_targets, [&](const auto &entry) { return now - entry.second.since > LeavingMemory; });
+    absl::erase_if(m_leavingTargets, [&](const auto &entry) { return now - entry.second.since > LeavingTargetRetention; });
 }
 
 } // namespace Jujube
--- a/Libraries/LibRelay/MoveSchedule.h
+++ b/Libraries/LibRelay/MigrationSchedule.h
@@ -12,11 +12,11 @@
 // Decides when the copies of generations whose engine leaves are ordered. Load pattern: an engine with several long generations is taken away within some two
 // seconds, and its link carries one copy after the other. A generation is stopped by a second, short copy, which must not wait behind the first copies of
 // others; so the copies of one engine are ordered one generation at a time, the most valuable first, and gateways take turns in an order that they agree on.
-class MoveSchedule
+class MigrationSchedule
 {
 public:
     // An engine leaves. `wait` is the time that the copies of the gateways before this one need.
-    void targetLeaves(const std::string &target, std::chrono::milliseconds wait, MonotonicTime now);
+    void addLeavingTarget(const std::string &target, std::chrono::milliseconds wait, MonotonicTime now);
 
     // A generation on the engine waits for its turn.
     void add(const std::string &target, const std::string &request, double value);
@@ -25,7 +25,7 @@
     void remove(const std::string &request);
 
     // No gateway before this one has a generation on the engine any more.
-    void release(const std::string &target, MonotonicTime now);
+    void grantTurn(const std::string &target, MonotonicTime now);
 
     // Engines whose generations wait for gateways before this one.
     std::vector<std::string> waitingTargets(MonotonicTime now) const;
@@ -34,7 +34,7 @@
     std::vector<std::string> takeDue(MonotonicTime now);
 
     // When takeDue() has to be called next, or nothing if no generation waits for a time.
-    std::optional<MonotonicTime> nextTime() const;
+    std::optional<MonotonicTime> nextDueTime() const;
 
     // Forgets engines that left long ago.
     void expire(MonotonicTime now);
@@ -52,7 +52,7 @@
         std::string active;
     };
 
-    absl::flat_hash_map<std::string, Leaving> m_targets;
+    absl::flat_hash_map<std::string, Leaving> m_leavingTargets;
 };
 
 } // namespace Jujube
--- a/Libraries/LibRelay/NewsAudience.h
+++ b/Libraries/LibRelay/NotificationScope.h
@@ -4,7 +4,7 @@
 {
 
 // Who is told of a change before the next regular heartbeat.
-enum class NewsAudience {
+enum class NotificationScope {
     // Nobody. Regular heartbeats repeat changes for a while, in case that a datagram was lost.
     None,
     // The relays of this region.
@@ -13,14 +13,14 @@
 };
 
 // Who is told at once that a target came, changed or leaves. Load pattern: when the store returns after an outage, some twenty targets are new at once; if each
-// of dozens of relays told all others again of what it has just heard, small VMs would be busy with nothing else while callers wait. `fromPeer` tells that
+// of dozens of relays told all others again of what it has just heard, small VMs would be busy with nothing else while callers wait. `isFromPeer` tells that
 // another relay has told it, `hasGenerations` that this relay would have to copy generations off the target, for which others wait.
-constexpr NewsAudience audienceForTarget(bool fromPeer, bool leaves, bool hasGenerations)
+constexpr NotificationScope notificationScopeForTarget(bool isFromPeer, bool isLeaving, bool hasGenerations)
 {
-    if (!fromPeer || (leaves && hasGenerations)) {
-        return NewsAudience::All;
+    if (!isFromPeer || (isLeaving && hasGenerations)) {
+        return NotificationScope::All;
     }
-    return NewsAudience::None;
+    return NotificationScope::None;
 }
 
 } // namespace Jujube
--- /dev/null
+++ b/Libraries/LibRelay/PeerHeartbeatCodec.cpp
@@ -0,0 +1,164 @@
+#include <LibRelay/PeerHeartbeatCodec.h>
+
+#include <algorithm>
+#include <LibCore/ThriftCompact.h>
+#include <limits>
+#include <Relay_types.h>
+
+namespace Jujube
+{
+
+namespace
+{
+
+// The second character is the version of the format.
+constexpr std::string_view FormatMarker = "R1";
+// An answer with all targets of a fleet has the longest list.
+constexpr ThriftLimits DecodingLimits {.listItems = 20000};
+
+Wire::ChangedTarget toWire(const TargetEntry &entry)
+{
+    Wire::ChangedTarget result;
+    result.target = entry.id;
+    result.incarnation = entry.incarnation;
+    result.serviceName = entry.service;
+    result.address = entry.address;
+    result.dataCentre = entry.dataCentre;
+    result.slots = entry.slots;
+    result.leaving = entry.leaving;
+    result.coldLeftMs = static_cast<int32_t>(entry.coldLeft.count());
+    result.version = entry.version;
+    result.saidLeaving = entry.reportedLeaving;
+    return result;
+}
+
+TargetEntry targetFromWire(const Wire::ChangedTarget &target)
+{
+    return {.id = target.target,
+            .incarnation = target.incarnation,
+            .service = target.serviceName,
+            .address = target.address,
+            .dataCentre = target.dataCentre,
+            .slots = target.slots,
+            .leaving = target.leaving,
+            .reportedLeaving = target.saidLeaving,
+            .coldLeft = std::chrono::milliseconds(target.coldLeftMs),
+            .version = target.version};
+}
+
+Wire::CrashOnTarget toWire(const TargetCrash &crash)
+{
+    Wire::CrashOnTarget result;
+    result.target = crash.target;
+    result.incarnation = static_cast<int64_t>(crash.incarnation);
+    result.ageMs = static_cast<int32_t>(crash.age.count());
+    result.members.assign(crash.members.begin(), crash.members.end());
+    result.running = crash.running;
+    return result;
+}
+
+TargetCrash crashFromWire(const Wire::CrashOnTarget &crash)
+{
+    return {.target = crash.target,
+            .incarnation = static_cast<uint64_t>(crash.incarnation),
+            .age = std::chrono::milliseconds(crash.ageMs),
+            .members = std::vector<uint64_t>(crash.members.begin(), crash.members.end()),
+            .running = crash.running};
+}
+
+Wire::RelayHeartbeat toWire(const PeerHeartbeat &heartbeat)
+{
+    Wire::RelayHeartbeat result;
+    result.node = heartbeat.node;
+    result.incarnation = heartbeat.incarnation;
+    result.sequence = heartbeat.sequence;
+    result.callers = heartbeat.callers;
+    result.peers = heartbeat.peers;
+    result.dataCentre = heartbeat.dataCentre;
+    result.accepting = heartbeat.accepting;
+    result.documentTableVersion = heartbeat.documentTableVersion;
+    result.targetsDigest = static_cast<int64_t>(heartbeat.targetsDigest);
+    result.targetsVersion = heartbeat.targetsVersion;
+    result.reading = heartbeat.reading;
+    result.trying = heartbeat.trying;
+    result.beatMs = static_cast<int32_t>(heartbeat.heartbeatInterval.count());
+    result.onlyLoads = heartbeat.onlyLoads;
+    result.targetsAgeMs = static_cast<int32_t>(std::min<int64_t>(heartbeat.targetsAge.count(), std::numeric_limits<int32_t>::max()));
+    auto loads = heartbeat.loads;
+    std::sort(loads.begin(), loads.end(), [](const auto &left, const auto &right) { return left.running > right.running; });
+    for (const auto &load : loads) {
+        Wire::LoadOnTarget wire;
+        wire.target = load.target;
+        wire.running = load.running;
+        wire.memory = static_cast<int32_t>(load.memory);
+        wire.prefill = static_cast<int32_t>(load.prefill);
+        wire.movable = static_cast<int32_t>(load.movable);
+        result.loads.push_back(wire);
+    }
+    for (const auto &entry : heartbeat.targets) {
+        result.targets.push_back(toWire(entry));
+    }
+    for (const auto &crash : heartbeat.crashes) {
+        result.crashes.push_back(toWire(crash));
+    }
+    result.known = heartbeat.known;
+    return result;
+}
+
+PeerHeartbeat fromWire(const Wire::RelayHeartbeat &wire)
+{
+    PeerHeartbeat heartbeat {.node = wire.node,
+                             .incarnation = wire.incarnation,
+                             .sequence = wire.sequence,
+                             .callers = wire.callers,
+                             .peers = wire.peers,
+                             .dataCentre = wire.dataCentre,
+                             .accepting = wire.accepting,
+                             .documentTableVersion = wire.documentTableVersion,
+                             .targetsDigest = static_cast<uint64_t>(wire.targetsDigest),
+                             .targetsVersion = wire.targetsVersion,
+                             .targetsAge = std::chrono::milliseconds(wire.targetsAgeMs),
+                             .reading = wire.reading,
+                             .trying = wire.trying,
+                             .heartbeatInterval = std::chrono::milliseconds(wire.beatMs),
+                             .onlyLoads = wire.onlyLoads};
+    for (const auto &load : wire.loads) {
+        heartbeat.loads.push_back({.target = load.target, .running = load.running, .memory = load.memory, .prefill = load.prefill, .movable = load.movable});
+    }
+    for (const auto &target : wire.targets) {
+        heartbeat.targets.push_back(targetFromWire(target));
+    }
+    for (const auto &crash : wire.crashes) {
+        heartbeat.crashes.push_back(crashFromWire(crash));
+    }
+    heartbeat.known = wire.known;
+    return heartbeat;
+}
+
+} // namespace
+
+std::string encodePeerHeartbeat(const PeerHeartbeat &heartbeat, size_t maxBytes)
+{
+    using Wire::RelayHeartbeat;
+    return std::string(FormatMarker)
+        + toThriftCompactWithin(toWire(heartbeat),
+                                maxBytes - FormatMarker.size(),
+                                &RelayHeartbeat::known,
+                                &RelayHeartbeat::crashes,
+                                &RelayHeartbeat::loads,
+                                &RelayHeartbeat::targets);
+}
+
+std::optional<PeerHeartbeat> decodePeerHeartbeat(std::string_view datagram)
+{
+    if (datagram.size() <= FormatMarker.size() || datagram.size() > MaxPeerResponseBytes || datagram.substr(0, FormatMarker.size()) != FormatMarker) {
+        return std::nullopt;
+    }
+    const auto heartbeat = fromThriftCompact<Wire::RelayHeartbeat>(std::string(datagram.substr(FormatMarker.size())), DecodingLimits);
+    if (!heartbeat) {
+        return std::nullopt;
+    }
+    return fromWire(*heartbeat);
+}
+
+} // namespace Jujube
--- a/Libraries/LibRelay/PeerTable.cpp
+++ b/Libraries/LibRelay/PeerTable.cpp
@@ -10,7 +10,7 @@
 {
 
 // Heartbeats that may be lost in a row before their sender counts as dead.
-constexpr double BeatsUntilSilent = 2.5;
+constexpr double HeartbeatsUntilSilent = 2.5;
 
 uint64_t hashOf(const std::string &node)
 {
@@ -22,7 +22,7 @@
 PeerTable::PeerTable(Options options, MonotonicTime now)
     : m_options(std::move(options))
     , m_startedAt(now)
-    , m_ownHash(hashOf(m_options.ownNode))
+    , m_ownHash(hashOf(m_options.ownName))
 {
 }
 
@@ -34,54 +34,55 @@
     m_addresses.try_emplace(address, Address {.addedAt = now});
 }
 
-PeerTable::Change PeerTable::hear(const PeerNews &news, MonotonicTime now)
+PeerTable::Change PeerTable::handleHeartbeat(const PeerHeartbeat &heartbeatMessage, MonotonicTime now)
 {
-    if (news.peers == m_options.ownAddress) {
+    if (heartbeatMessage.peers == m_options.ownAddress) {
         return Change::None;
     }
-    const auto found = m_peers.find(news.node);
+    const auto found = m_peers.find(heartbeatMessage.node);
     if (found != m_peers.end()) {
-        const auto &last = found->second.news;
-        const bool isOlder = news.incarnation < last.incarnation || (news.incarnation == last.incarnation && news.sequence <= last.sequence);
+        const auto &last = found->second.heartbeatMessage;
+        const bool isOlder = heartbeatMessage.incarnation < last.incarnation
+            || (heartbeatMessage.incarnation == last.incarnation && heartbeatMessage.sequence <= last.sequence);
         if (isOlder) {
             return Change::Stale;
         }
     }
-    if (news.onlyLoads) {
-        if (found == m_peers.end() || found->second.news.incarnation != news.incarnation) {
+    if (heartbeatMessage.onlyLoads) {
+        if (found == m_peers.end() || found->second.heartbeatMessage.incarnation != heartbeatMessage.incarnation) {
             return Change::Stale;
         }
-        found->second.news.sequence = news.sequence;
-        if (m_live.contains(news.node)) {
-            found->second.heardAt = now;
-            m_addresses[news.peers].heardAt = now;
+        found->second.heartbeatMessage.sequence = heartbeatMessage.sequence;
+        if (m_live.contains(heartbeatMessage.node)) {
+            found->second.receivedAt = now;
+            m_addresses[heartbeatMessage.peers].receivedAt = now;
         }
         return Change::None;
     }
-    addAddress(news.peers, now);
-    auto &address = m_addresses[news.peers];
-    address.heard = true;
-    address.heardAt = now;
-    address.silenceTimeout = silenceTimeoutOf(news);
-    address.isNear = isInRegion(news.dataCentre);
-    for (const auto &known : news.known) {
+    addAddress(heartbeatMessage.peers, now);
+    auto &address = m_addresses[heartbeatMessage.peers];
+    address.hasBeenHeard = true;
+    address.receivedAt = now;
+    address.silenceTimeout = silenceTimeoutOf(heartbeatMessage);
+    address.isInOwnRegion = isInRegion(heartbeatMessage.dataCentre);
+    for (const auto &known : heartbeatMessage.known) {
         addAddress(known, now);
     }
-    m_peers[news.node] = {.news = news, .heardAt = now};
-    if (!m_live.insert(news.node).second) {
+    m_peers[heartbeatMessage.node] = {.heartbeatMessage = heartbeatMessage, .receivedAt = now};
+    if (!m_live.insert(heartbeatMessage.node).second) {
         return Change::None;
     }
-    collectSharers(now);
+    updateColdRateParticipants(now);
     return Change::Joined;
 }
 
-std::vector<std::string> PeerTable::recipients(Reach reach, MonotonicTime now)
+std::vector<std::string> PeerTable::recipients(RecipientScope scope, MonotonicTime now)
 {
     std::vector<std::string> result;
     for (auto &[text, address] : m_addresses) {
-        const bool answers = address.heard && now - address.heardAt < address.silenceTimeout;
-        const bool isLiveInRegion = answers && address.isNear;
-        if (reach == Reach::Region) {
+        const bool isResponding = address.hasBeenHeard && now - address.receivedAt < address.silenceTimeout;
+        const bool isLiveInRegion = isResponding && address.isInOwnRegion;
+        if (scope == RecipientScope::Region) {
             if (isLiveInRegion) {
                 result.push_back(text);
             }
@@ -90,7 +91,7 @@
         if (isLiveInRegion) {
             continue;
         }
-        if (answers || address.probedAt == MonotonicTime {} || now - address.probedAt >= m_options.probePause) {
+        if (isResponding || address.probedAt == MonotonicTime {} || now - address.probedAt >= m_options.probeInterval) {
             address.probedAt = now;
             result.push_back(text);
         }
@@ -104,29 +105,29 @@
     return region != m_options.regions.end() && region->second == m_options.region;
 }
 
-std::vector<const Peer *> PeerTable::aliveInRegion(MonotonicTime now) const
+std::vector<const Peer *> PeerTable::livePeersInRegion(MonotonicTime now) const
 {
-    auto result = alive(now);
-    std::erase_if(result, [&](const Peer *peer) { return !isInRegion(peer->news.dataCentre); });
+    auto result = livePeers(now);
+    std::erase_if(result, [&](const Peer *peer) { return !isInRegion(peer->heartbeatMessage.dataCentre); });
     return result;
 }
 
-bool PeerTable::speaksForRegion(const std::string &ownNode, MonotonicTime now) const
+bool PeerTable::isRegionRepresentative(const std::string &ownName, MonotonicTime now) const
 {
     return std::none_of(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
-        return entry.first <= ownNode && isAlive(entry.second, now) && isInRegion(entry.second.news.dataCentre);
+        return entry.first <= ownName && isAlive(entry.second, now) && isInRegion(entry.second.heartbeatMessage.dataCentre);
     });
 }
 
-std::chrono::milliseconds PeerTable::silenceTimeoutOf(const PeerNews &news) const
+std::chrono::milliseconds PeerTable::silenceTimeoutOf(const PeerHeartbeat &heartbeatMessage) const
 {
-    const auto announced = std::chrono::duration_cast<std::chrono::milliseconds>(BeatsUntilSilent * news.beatPause);
-    return std::max(m_options.silenceTimeout, std::min(announced, m_options.longestSilence));
+    const auto announced = std::chrono::duration_cast<std::chrono::milliseconds>(HeartbeatsUntilSilent * heartbeatMessage.heartbeatInterval);
+    return std::max(m_options.silenceTimeout, std::min(announced, m_options.maxSilenceTimeout));
 }
 
 bool PeerTable::isAlive(const Peer &peer, MonotonicTime now) const
 {
-    return now - peer.heardAt < silenceTimeoutOf(peer.news);
+    return now - peer.receivedAt < silenceTimeoutOf(peer.heartbeatMessage);
 }
 
 std::vector<std::string> PeerTable::expire(MonotonicTime now)
@@ -137,31 +138,31 @@
             silent.push_back(node);
         }
     }
-    absl::erase_if(m_peers, [&](const auto &entry) { return now - entry.second.heardAt > m_options.memory; });
-    collectSharers(now);
+    absl::erase_if(m_peers, [&](const auto &entry) { return now - entry.second.receivedAt > m_options.retention; });
+    updateColdRateParticipants(now);
     absl::erase_if(m_addresses, [&](const auto &entry) {
         const auto &address = entry.second;
-        return now - std::max(address.addedAt, address.heardAt) > m_options.memory;
+        return now - std::max(address.addedAt, address.receivedAt) > m_options.retention;
     });
     return silent;
 }
 
-void PeerTable::collectSharers(MonotonicTime now)
+void PeerTable::updateColdRateParticipants(MonotonicTime now)
 {
-    m_sharers.clear();
+    m_coldRateParticipants.clear();
     for (const auto &[node, peer] : m_peers) {
-        if (now - peer.heardAt <= m_options.sharerMemory) {
-            m_sharers.push_back(hashOf(node));
+        if (now - peer.receivedAt <= m_options.participantRetention) {
+            m_coldRateParticipants.push_back(hashOf(node));
         }
     }
 }
 
-ColdSharers PeerTable::coldSharers(MonotonicTime now) const
+ColdRateParticipants PeerTable::coldRateParticipants(MonotonicTime now) const
 {
-    return {.others = m_sharers, .self = m_ownHash, .isSettled = now - m_startedAt >= m_options.settleTime};
+    return {.others = m_coldRateParticipants, .self = m_ownHash, .hasDiscoveredPeers = now - m_startedAt >= m_options.discoveryTime};
 }
 
-std::vector<const Peer *> PeerTable::alive(MonotonicTime now) const
+std::vector<const Peer *> PeerTable::livePeers(MonotonicTime now) const
 {
     std::vector<const Peer *> result;
     for (const auto &[node, peer] : m_peers) {
@@ -172,17 +173,17 @@
     return result;
 }
 
-int PeerTable::liveCount(MonotonicTime now) const
+int PeerTable::liveRelayCount(MonotonicTime now) const
 {
     return static_cast<int>(std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &entry) { return isAlive(entry.second, now); })) + 1;
 }
 
-std::vector<std::string> PeerTable::knownAddresses(size_t most, MonotonicTime now, uint64_t random) const
+std::vector<std::string> PeerTable::knownAddresses(size_t maxCount, MonotonicTime now, uint64_t random) const
 {
-    const auto live = alive(now);
+    const auto live = livePeers(now);
     std::vector<std::string> result;
-    for (size_t index = 0; index < std::min(most, live.size()); ++index) {
-        result.push_back(live[(random + index) % live.size()]->news.peers);
+    for (size_t index = 0; index < std::min(maxCount, live.size()); ++index) {
+        result.push_back(live[(random + index) % live.size()]->heartbeatMessage.peers);
     }
     return result;
 }
--- a/Libraries/LibRelay/PeerTable.h
+++ b/Libraries/LibRelay/PeerTable.h
@@ -3,7 +3,7 @@
 #include <absl/container/flat_hash_map.h>
 #include <LibCore/Time.h>
 #include <LibPolicy/CrashSuspects.h>
-#include <LibRelay/ColdRate.h>
+#include <LibRelay/ColdTargetRateLimiter.h>
 #include <LibRelay/TargetLoad.h>
 #include <LibRelay/TargetTable.h>
 #include <map>
@@ -16,7 +16,7 @@
 {
 
 // What one relay tells the others with each heartbeat.
-struct PeerNews {
+struct PeerHeartbeat {
     std::string node;
     // Start of the relay's process, in milliseconds since 1970. Heartbeats of an earlier process are ignored.
     int64_t incarnation = 0;
@@ -39,7 +39,7 @@
     // Whether it reads them, or its reads have failed for a short time only.
     bool trying = false;
     // Longest time until the next heartbeat to the same receiver.
-    std::chrono::milliseconds beatPause {0};
+    std::chrono::milliseconds heartbeatInterval {0};
     // Nothing but the name, the numbers and the loads is filled in.
     bool onlyLoads = false;
     std::vector<TargetLoad> loads;
@@ -52,8 +52,8 @@
 
 // Another relay, by its latest heartbeat. What it has placed on targets is kept by the TargetBalancer.
 struct Peer {
-    PeerNews news;
-    MonotonicTime heardAt;
+    PeerHeartbeat heartbeatMessage;
+    MonotonicTime receivedAt;
 };
 
 // The other relays of the environment. Addresses come from the seeds, from the store and from heartbeats; a relay is alive while its heartbeats arrive.
@@ -62,21 +62,21 @@
 public:
     struct Options {
         std::string ownAddress;
-        std::string ownNode;
+        std::string ownName;
         std::string region;
         // Region of each data centre.
         std::map<std::string, std::string> regions;
         // A relay that has not been heard for this time counts as dead, or for the time of some of the heartbeats that it has announced if that is longer.
         std::chrono::milliseconds silenceTimeout {2500};
-        std::chrono::milliseconds longestSilence {6000};
+        std::chrono::milliseconds maxSilenceTimeout {6000};
         // Relays that have been silent for longer have no share in cold targets any more.
-        std::chrono::seconds sharerMemory {30};
+        std::chrono::seconds participantRetention {30};
         // After this time since its start a relay has heard the others, by way of its seeds.
-        std::chrono::milliseconds settleTime {2000};
+        std::chrono::milliseconds discoveryTime {2000};
         // Addresses that were never heard, or not for this time, are forgotten.
-        std::chrono::seconds memory {120};
+        std::chrono::seconds retention {120};
         // Pause between heartbeats to an address that does not answer.
-        std::chrono::milliseconds probePause {2000};
+        std::chrono::milliseconds probeInterval {2000};
     };
 
     // What a heartbeat changed.
@@ -90,49 +90,49 @@
 
     void addAddress(const std::string &address, MonotonicTime now);
     // Takes in a heartbeat. One with loads only has no effect but that its sender is alive; it is stale if its sender is not known.
-    Change hear(const PeerNews &news, MonotonicTime now);
+    Change handleHeartbeat(const PeerHeartbeat &heartbeatMessage, MonotonicTime now);
 
     // Which relays get a heartbeat.
-    enum class Reach {
+    enum class RecipientScope {
         // Live relays in this relay's region.
         Region,
         // Live relays elsewhere, and now and then addresses that do not answer.
-        Elsewhere,
+        OutsideRegion,
     };
-    std::vector<std::string> recipients(Reach reach, MonotonicTime now);
+    std::vector<std::string> recipients(RecipientScope scope, MonotonicTime now);
 
     // Live relays in this relay's region, without this one.
-    std::vector<const Peer *> aliveInRegion(MonotonicTime now) const;
+    std::vector<const Peer *> livePeersInRegion(MonotonicTime now) const;
     // Whether this relay is the one that tells other regions of the loads of its region: the first by name of those alive.
-    bool speaksForRegion(const std::string &ownNode, MonotonicTime now) const;
+    bool isRegionRepresentative(const std::string &ownName, MonotonicTime now) const;
 
     // Names of relays that have fallen silent since the last call.
     std::vector<std::string> expire(MonotonicTime now);
 
-    std::vector<const Peer *> alive(MonotonicTime now) const;
+    std::vector<const Peer *> livePeers(MonotonicTime now) const;
     // Number of live relays, this one included.
-    int liveCount(MonotonicTime now) const;
+    int liveRelayCount(MonotonicTime now) const;
     // The relays over which the rate of a cold target is divided. Valid until the table changes.
-    ColdSharers coldSharers(MonotonicTime now) const;
+    ColdRateParticipants coldRateParticipants(MonotonicTime now) const;
     // Some addresses of live relays, for the next heartbeat. Different random numbers give different ones, so that all get known in time.
-    std::vector<std::string> knownAddresses(size_t most, MonotonicTime now, uint64_t random) const;
+    std::vector<std::string> knownAddresses(size_t maxCount, MonotonicTime now, uint64_t random) const;
 
 private:
     struct Address {
         MonotonicTime addedAt;
-        MonotonicTime heardAt;
+        MonotonicTime receivedAt;
         MonotonicTime probedAt;
         // How long the relay there counts as alive without a further heartbeat.
         std::chrono::milliseconds silenceTimeout {0};
-        bool heard = false;
+        bool hasBeenHeard = false;
         // Whether a relay of this region has the address.
-        bool isNear = false;
+        bool isInOwnRegion = false;
     };
 
     bool isInRegion(const std::string &dataCentre) const;
-    std::chrono::milliseconds silenceTimeoutOf(const PeerNews &news) const;
+    std::chrono::milliseconds silenceTimeoutOf(const PeerHeartbeat &heartbeatMessage) const;
     bool isAlive(const Peer &peer, MonotonicTime now) const;
-    void collectSharers(MonotonicTime now);
+    void updateColdRateParticipants(MonotonicTime now);
 
     const Options m_options;
     absl::flat_hash_map<std::string, Address> m_addresses;
@@ -141,7 +141,7 @@
     MonotonicTime m_startedAt;
     uint64_t m_ownHash = 0;
     // Hashes of the names of relays that were heard lately.
-    std::vector<uint64_t> m_sharers;
+    std::vector<uint64_t> m_coldRateParticipants;
 };
 
 } // namespace Jujube
--- a/Libraries/LibRelay/RelayAdmission.cpp
+++ b/Libraries/LibRelay/RelayAdmission.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-RunDemand demandOf(const RequestAdmission &request, const RequestClaims &claims)
+RunDemand demandOf(const RequestAdmission &request, const RequestAttributes &attributes)
 {
     const auto &route = *request.route;
     RunDemand demand {.service = request.service->name, .priority = route.priority};
@@ -20,46 +20,46 @@
         return demand;
     }
     // A resumable stream is short, and is repeated where its target is lost.
-    demand.isMovable = route.kind == RelayKind::Stream && !route.resumable && engine->canMove;
-    demand.promptTokens = claims.promptTokens;
-    const bool hintIsSmaller = claims.lengthHint > 0 && (claims.mostTokens == 0 || claims.lengthHint < claims.mostTokens);
-    demand.expectedTokens = hintIsSmaller ? claims.lengthHint : claims.mostTokens;
+    demand.isMigratable = route.kind == RouteKind::Stream && !route.resumable && engine->canMigrate;
+    demand.promptTokens = attributes.promptTokens;
+    const bool hintIsSmaller = attributes.lengthHint > 0 && (attributes.maxTokens == 0 || attributes.lengthHint < attributes.maxTokens);
+    demand.expectedTokens = hintIsSmaller ? attributes.lengthHint : attributes.maxTokens;
     return demand;
 }
 
 } // namespace
 
-RequestAdmission admitRequest(const RouteTable *routes, const RequestClaims &claims, double draw, MonotonicTime now)
+RequestAdmission admitRequest(const RouteTable *routes, const RequestAttributes &attributes, double draw, MonotonicTime now)
 {
     RequestAdmission request;
     if (!routes) {
-        request.refusal = RelayOutcome::NoDocument;
+        request.rejection = RelayOutcome::NoDocument;
         return request;
     }
-    if (claims.id.empty() || !claims.path.starts_with('/')) {
-        request.refusal = RelayOutcome::Malformed;
+    if (attributes.id.empty() || !attributes.path.starts_with('/')) {
+        request.rejection = RelayOutcome::Malformed;
         return request;
     }
-    request.route = routes->findRoute(claims.host, claims.path);
+    request.route = routes->findRoute(attributes.host, attributes.path);
     if (!request.route) {
-        request.refusal = RelayOutcome::NoRoute;
+        request.rejection = RelayOutcome::NoRoute;
         return request;
     }
-    request.workspace = claims.key.empty() ? nullptr : routes->findWorkspaceByKey(claims.key);
+    request.workspace = attributes.key.empty() ? nullptr : routes->findWorkspaceByKey(attributes.key);
     if (routes->document().requiresKeys && !request.route->isPublic && !request.workspace) {
-        request.refusal = RelayOutcome::UnknownKey;
+        request.rejection = RelayOutcome::UnknownKey;
         return request;
     }
     if (!request.route->shares.empty()) {
         request.service = routes->findService(RouteTable::pickService(*request.route, draw));
     }
     if (!request.service) {
-        request.refusal = RelayOutcome::NoTarget;
+        request.rejection = RelayOutcome::NoTarget;
         return request;
     }
     request.homeRegions = RouteTable::homeRegions(*request.route, request.workspace);
-    request.demand = demandOf(request, claims);
-    request.deadline = now + std::min(request.route->timeout, claims.timeLeft.value_or(request.route->timeout));
+    request.demand = demandOf(request, attributes);
+    request.deadline = now + std::min(request.route->timeout, attributes.timeLeft.value_or(request.route->timeout));
     return request;
 }
 
--- a/Libraries/LibRelay/RelayDocument.h
+++ b/Libraries/LibRelay/RelayDocument.h
@@ -11,7 +11,7 @@
 {
 
 // What may be done with a request of a route when its outcome is unknown.
-enum class RelayKind : uint8_t {
+enum class RouteKind : uint8_t {
     // May run any number of times.
     Repeatable,
     // Must run at most once.
@@ -20,7 +20,7 @@
     Stream,
 };
 
-std::string_view nameOf(RelayKind kind);
+std::string_view nameOf(RouteKind kind);
 
 // A part of a route's requests that goes to one service.
 struct RouteShare {
@@ -33,15 +33,15 @@
     std::string name;
     std::string host;
     std::string prefix;
-    RelayKind kind = RelayKind::OneTime;
+    RouteKind kind = RouteKind::OneTime;
     // A stream that another target may continue after the last event that was delivered.
     bool resumable = false;
     // Longest time until the final answer.
     std::chrono::milliseconds timeout {30000};
     // Time within which the answer, or the first event, earns its full worth.
-    std::chrono::milliseconds goal {1000};
+    std::chrono::milliseconds latencyGoal {1000};
     // Longest pause between events for which a stream is on time. Zero if none is declared.
-    std::chrono::milliseconds gapTarget {0};
+    std::chrono::milliseconds eventPauseGoal {0};
     // Zero is the most important one.
     int priority = 0;
     std::vector<RouteShare> shares;
@@ -60,7 +60,7 @@
     int64_t bytesPerToken = 0;
     double linkMbps = 0;
     // Whether running generations can be copied to another engine.
-    bool canMove = false;
+    bool canMigrate = false;
     // Whether an engine keeps a copy of a running generation on another engine.
     bool canBackUp = false;
     // Tokens in one event of a stream.
--- a/Libraries/LibRelay/RelayOutcome.cpp
+++ b/Libraries/LibRelay/RelayOutcome.cpp
@@ -9,26 +9,26 @@
 {
 
 // The statuses 408, 421, 429 and 503 say that the request has not run and never will, so no outcome after a possible run has one of them.
-constexpr std::array Table {
+constexpr std::array OutcomeTable {
     RelayOutcomeInfo {RelayOutcome::NoDocument, "no_document", 503, RanState::No, true},
     RelayOutcomeInfo {RelayOutcome::NoRoute, "no_route", 404, RanState::No, false},
     RelayOutcomeInfo {RelayOutcome::UnknownKey, "unknown_key", 401, RanState::No, false},
     RelayOutcomeInfo {RelayOutcome::Malformed, "malformed", 400, RanState::No, false},
     RelayOutcomeInfo {RelayOutcome::NoTarget, "no_target", 503, RanState::No, true},
     RelayOutcomeInfo {RelayOutcome::Draining, "draining", 503, RanState::No, true},
-    RelayOutcomeInfo {RelayOutcome::CrashesTargets, "crashes_targets", 503, RanState::No, true},
+    RelayOutcomeInfo {RelayOutcome::PoisonRequest, "crashes_targets", 503, RanState::No, true},
     RelayOutcomeInfo {RelayOutcome::RetryBudgetSpent, "retry_budget_spent", 503, RanState::No, true},
     RelayOutcomeInfo {RelayOutcome::TimedOutNotRun, "timed_out_not_run", 503, RanState::No, true},
     RelayOutcomeInfo {RelayOutcome::TimedOut, "timed_out", 504, RanState::Unknown, false},
     RelayOutcomeInfo {RelayOutcome::TargetFailed, "target_failed", 502, RanState::Unknown, false},
-    RelayOutcomeInfo {RelayOutcome::AnswerBroken, "answer_broken", 0, RanState::Yes, false},
+    RelayOutcomeInfo {RelayOutcome::ResponseBroken, "answer_broken", 0, RanState::Yes, false},
 };
 
 } // namespace
 
 const RelayOutcomeInfo &relayOutcomeInfo(RelayOutcome outcome)
 {
-    return Table.at(static_cast<size_t>(outcome));
+    return OutcomeTable.at(static_cast<size_t>(outcome));
 }
 
 } // namespace Jujube
--- a/Libraries/LibRelay/RelayOutcome.h
+++ b/Libraries/LibRelay/RelayOutcome.h
@@ -18,7 +18,7 @@
     // The gateway shuts down before the request could end.
     Draining,
     // The request crashes the targets that run it.
-    CrashesTargets,
+    PoisonRequest,
     // The retry budget is spent, and the request has not run.
     RetryBudgetSpent,
     // The time is over; nothing was sent, or every target said that it had not run the request.
@@ -28,7 +28,7 @@
     // The target failed, and the request may have run.
     TargetFailed,
     // The answer broke off after the caller had a part of it.
-    AnswerBroken,
+    ResponseBroken,
 };
 
 // What the caller is told for an outcome.
--- a/Libraries/LibRelay/RelaySession.cpp
+++ b/Libraries/LibRelay/RelaySession.cpp
@@ -11,13 +11,13 @@
 constexpr int FirstSuccess = 200;
 
 // Targets that may refuse one request before the gateway gives up. Refusals are not runs, but each counts against the retry budget.
-constexpr int MostRejections = 3;
+constexpr int MaxRejections = 3;
 // Targets that may turn out to be unreachable before the gateway gives up. They cost no budget, only time.
-constexpr int MostUnreached = 8;
+constexpr int MaxUnreachableTargets = 8;
 // An answer that is not a stream is held back up to this size, so that one that breaks can still be replaced.
-constexpr size_t HeldBytes = 64 * 1024;
+constexpr size_t MaxBufferedResponseBytes = 64 * 1024;
 // A retry is not worth its send with less time left than this.
-constexpr std::chrono::milliseconds LeastTimeForRetry {60};
+constexpr std::chrono::milliseconds MinTimeForRetry {60};
 
 bool isSuccess(int status)
 {
@@ -26,156 +26,156 @@
 
 } // namespace
 
-RelaySession::RelaySession(RelayFacts facts, Hooks hooks)
-    : m_facts(std::move(facts))
+RelaySession::RelaySession(RequestProperties request, Hooks hooks)
+    : m_request(std::move(request))
     , m_hooks(std::move(hooks))
 {
 }
 
 void RelaySession::start(MonotonicTime now)
 {
-    place(now);
+    startRun(now);
 }
 
-void RelaySession::place(MonotonicTime now)
+void RelaySession::startRun(MonotonicTime now)
 {
-    if (now >= m_facts.deadline) {
+    if (now >= m_request.deadline) {
         onDeadline(now);
         return;
     }
     const auto choice = m_hooks.choose(m_excluded, now);
     if (!choice.target) {
-        giveUp(m_mayHaveRun ? RelayOutcome::TargetFailed : choice.refusal, choice.retryAfter);
+        fail(m_mayHaveRun ? RelayOutcome::TargetFailed : choice.rejection, choice.retryAfter);
         return;
     }
     send(*choice.target, {}, now);
 }
 
-void RelaySession::send(const RelayTarget &target, const std::string &memorySource, MonotonicTime now)
+void RelaySession::send(const RelayTarget &target, const std::string &kvCacheSource, MonotonicTime now)
 {
     m_target = target;
-    m_targetLeaving = false;
-    m_accepted = false;
-    m_held.clear();
-    m_answer = {};
-    m_events.restart();
-    ++m_sends;
-    m_continuing = m_begun;
+    m_isTargetLeaving = false;
+    m_isResponseAccepted = false;
+    m_bufferedBody.clear();
+    m_response = {};
+    m_events.discardPartialEvent();
+    ++m_attempts;
+    m_isContinuation = m_hasBegun;
     m_backup = m_hooks.chooseBackup(target, now);
     m_hooks.send({.target = target,
-                  .attempt = m_sends,
-                  .timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(m_facts.deadline - now),
+                  .attempt = m_attempts,
+                  .timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(m_request.deadline - now),
                   .lastEventId = m_events.lastId(),
-                  .memorySource = memorySource,
+                  .kvCacheSource = kvCacheSource,
                   .backup = m_backup});
 }
 
-bool RelaySession::onHead(const TargetAnswer &answer, MonotonicTime now)
+bool RelaySession::onHead(const TargetResponse &answer, MonotonicTime now)
 {
-    if (m_over) {
+    if (m_isOver) {
         return false;
     }
     if (answer.notRun || answer.misdirected) {
-        onFailure(UpstreamResult::Broken, true, now);
+        onFailure(ExchangeResult::Broken, true, now);
         return false;
     }
     m_mayHaveRun = true;
     // A success without the target's mark is not the target's whole answer.
-    if (!answer.sealed && (isSuccess(answer.status) || m_continuing)) {
-        onFailure(UpstreamResult::Broken, false, now);
+    if (!answer.sealed && (isSuccess(answer.status) || m_isContinuation)) {
+        onFailure(ExchangeResult::Broken, false, now);
         return false;
     }
     // Bytes of another format must not follow the events that the caller has.
-    if (m_continuing && (!isSuccess(answer.status) || (m_facts.kind == RelayKind::Stream && !answer.isStream))) {
-        onFailure(UpstreamResult::Broken, false, now);
+    if (m_isContinuation && (!isSuccess(answer.status) || (m_request.kind == RouteKind::Stream && !answer.isStream))) {
+        onFailure(ExchangeResult::Broken, false, now);
         return false;
     }
-    if (answer.status >= FirstServerError && !m_begun && m_facts.isRepeatable() && m_runs + 1 < m_facts.maxAttempts) {
+    if (answer.status >= FirstServerError && !m_hasBegun && m_request.isRepeatable() && m_runs + 1 < m_request.maxAttempts) {
         ++m_runs;
         m_excluded.insert(m_target->id);
-        if (retry("server error", true, now)) {
+        if (tryRetry("server error", true, now)) {
             return false;
         }
         --m_runs;
         m_excluded.erase(m_target->id);
     }
-    m_answer = answer;
-    m_accepted = true;
+    m_response = answer;
+    m_isResponseAccepted = true;
     return true;
 }
 
-void RelaySession::begin(std::optional<uint64_t> length)
+void RelaySession::ensureResponseBegun(std::optional<uint64_t> length)
 {
-    if (!m_begun) {
-        m_begun = true;
-        m_hooks.beginAnswer(length);
+    if (!m_hasBegun) {
+        m_hasBegun = true;
+        m_hooks.beginResponse(length);
     }
 }
 
-void RelaySession::deliver(std::string_view bytes)
+void RelaySession::writeEvents(std::string_view bytes)
 {
-    begin(std::nullopt);
+    ensureResponseBegun(std::nullopt);
     m_hooks.write(bytes);
 }
 
 void RelaySession::onBody(std::string_view bytes, MonotonicTime now)
 {
-    if (m_over || !m_accepted) {
+    if (m_isOver || !m_isResponseAccepted) {
         return;
     }
-    if (!m_answer.isStream) {
-        m_held += bytes;
-        if (m_begun || m_held.size() > HeldBytes) {
-            begin(m_answer.length);
-            m_hooks.write(std::exchange(m_held, {}));
+    if (!m_response.isStream) {
+        m_bufferedBody += bytes;
+        if (m_hasBegun || m_bufferedBody.size() > MaxBufferedResponseBytes) {
+            ensureResponseBegun(m_response.length);
+            m_hooks.write(std::exchange(m_bufferedBody, {}));
         }
         return;
     }
     const bool hadEvents = m_events.count() > 0;
     const auto events = m_events.feed(bytes);
     if (!events.empty()) {
-        deliver(events);
+        writeEvents(events);
     }
     if (m_events.isOutOfOrder()) {
-        m_hooks.abortSend();
-        m_hooks.note("cut", "events out of order");
-        m_over = true;
-        m_hooks.cut(RelayOutcome::AnswerBroken);
+        m_hooks.abortAttempt();
+        m_hooks.record("cut", "events out of order");
+        m_isOver = true;
+        m_hooks.cut(RelayOutcome::ResponseBroken);
         return;
     }
     if (m_events.isTooLong()) {
-        m_hooks.note("abort", "event without end");
-        m_hooks.abortSend();
-        onFailure(UpstreamResult::Broken, false, now);
+        m_hooks.record("abort", "event without end");
+        m_hooks.abortAttempt();
+        onFailure(ExchangeResult::Broken, false, now);
         return;
     }
     // The copy of a generation that has just produced its first event can start now.
-    if (m_targetLeaving && m_move == Move::None && !hadEvents && m_events.count() > 0 && !m_backup) {
-        startCopy(now);
+    if (m_isTargetLeaving && m_migration == Migration::None && !hadEvents && m_events.count() > 0 && !m_backup) {
+        startMigration(now);
     }
 }
 
 void RelaySession::complete()
 {
-    m_over = true;
-    begin(m_answer.isStream ? std::nullopt : std::optional<uint64_t>(m_held.size()));
-    if (!m_held.empty()) {
-        m_hooks.write(m_held);
+    m_isOver = true;
+    ensureResponseBegun(m_response.isStream ? std::nullopt : std::optional<uint64_t>(m_bufferedBody.size()));
+    if (!m_bufferedBody.empty()) {
+        m_hooks.write(m_bufferedBody);
     }
-    m_hooks.finishAnswer();
+    m_hooks.finishResponse();
 }
 
-void RelaySession::onEnd(UpstreamResult result, MonotonicTime now)
+void RelaySession::onEnd(ExchangeResult result, MonotonicTime now)
 {
-    if (m_over) {
+    if (m_isOver) {
         return;
     }
-    if (m_move == Move::Draining) {
-        continueAt(m_destination, m_handle, now);
+    if (m_migration == Migration::Draining) {
+        continueAt(m_destination, m_copyHandle, now);
         return;
     }
-    if (m_move == Move::Stopping) {
-        if (result == UpstreamResult::Complete && !m_events.hasPartialEvent()) {
+    if (m_migration == Migration::Stopping) {
+        if (result == ExchangeResult::Complete && !m_events.hasPartialEvent()) {
             complete();
             return;
         }
@@ -183,43 +183,43 @@
         m_target.reset();
         return;
     }
-    if (result == UpstreamResult::Complete && m_accepted && !m_events.hasPartialEvent()) {
+    if (result == ExchangeResult::Complete && m_isResponseAccepted && !m_events.hasPartialEvent()) {
         complete();
         return;
     }
     onFailure(result, false, now);
 }
 
-void RelaySession::onFailure(UpstreamResult result, bool notRun, MonotonicTime now)
+void RelaySession::onFailure(ExchangeResult result, bool notRun, MonotonicTime now)
 {
-    const bool hadAnswer = std::exchange(m_accepted, false);
-    m_move = Move::None;
+    const bool hadResponse = std::exchange(m_isResponseAccepted, false);
+    m_migration = Migration::None;
     if (m_target) {
         m_excluded.insert(m_target->id);
     }
-    if (!hadAnswer) {
+    if (!hadResponse) {
         if (continueAtSource(now)) {
             return;
         }
         // The run has not begun at this target, and no copy has grown with it.
         m_backup.reset();
     }
-    if (result == UpstreamResult::NotSent || notRun) {
-        ++(notRun ? m_rejections : m_unreached);
-        if (m_continuing) {
+    if (result == ExchangeResult::NotSent || notRun) {
+        ++(notRun ? m_rejections : m_unreachable);
+        if (m_isContinuation) {
             // The copy is gone or its holder is; the source has stopped.
-            if (!continueFromBackup(now) && !(m_facts.resumable && retry("continuation refused", true, now))) {
-                giveUp(RelayOutcome::TargetFailed, {});
+            if (!continueFromBackup(now) && !(m_request.resumable && tryRetry("continuation refused", true, now))) {
+                fail(RelayOutcome::TargetFailed, {});
             }
             return;
         }
-        const bool mayRunElsewhere = !m_mayHaveRun || (m_facts.isRepeatable() && m_runs < m_facts.maxAttempts);
-        const bool mayTryOn = m_rejections <= MostRejections && m_unreached <= MostUnreached;
-        if (mayRunElsewhere && mayTryOn && retry(notRun ? "not run" : "not sent", notRun, now)) {
+        const bool mayRunElsewhere = !m_mayHaveRun || (m_request.isRepeatable() && m_runs < m_request.maxAttempts);
+        const bool hasTriesLeft = m_rejections <= MaxRejections && m_unreachable <= MaxUnreachableTargets;
+        if (mayRunElsewhere && hasTriesLeft && tryRetry(notRun ? "not run" : "not sent", notRun, now)) {
             return;
         }
-        const auto refusal = notRun ? RelayOutcome::RetryBudgetSpent : RelayOutcome::NoTarget;
-        giveUp(m_mayHaveRun ? RelayOutcome::TargetFailed : refusal, m_retryAfter);
+        const auto rejection = notRun ? RelayOutcome::RetryBudgetSpent : RelayOutcome::NoTarget;
+        fail(m_mayHaveRun ? RelayOutcome::TargetFailed : rejection, m_retryAfter);
         return;
     }
     m_mayHaveRun = true;
@@ -227,16 +227,16 @@
     if (continueFromBackup(now)) {
         return;
     }
-    const bool mayRunAgain = m_facts.isRepeatable() && m_runs < m_facts.maxAttempts && (!m_begun || m_facts.resumable);
-    if (mayRunAgain && retry("broken answer", true, now)) {
+    const bool mayRunAgain = m_request.isRepeatable() && m_runs < m_request.maxAttempts && (!m_hasBegun || m_request.resumable);
+    if (mayRunAgain && tryRetry("broken answer", true, now)) {
         return;
     }
-    giveUp(RelayOutcome::TargetFailed, {});
+    fail(RelayOutcome::TargetFailed, {});
 }
 
-bool RelaySession::retry(std::string_view reason, bool wasReached, MonotonicTime now)
+bool RelaySession::tryRetry(std::string_view reason, bool countsAgainstBudget, MonotonicTime now)
 {
-    if (m_facts.deadline - now < LeastTimeForRetry) {
+    if (m_request.deadline - now < MinTimeForRetry) {
         return false;
     }
     // The answer at hand is given up only for a target that can take the request.
@@ -245,60 +245,60 @@
         m_retryAfter = choice.retryAfter;
         return false;
     }
-    if (wasReached && !m_hooks.takeRetry(now)) {
+    if (countsAgainstBudget && !m_hooks.tryTakeRetry(now)) {
         return false;
     }
-    m_hooks.note("retry", reason);
-    m_hooks.abortSend();
+    m_hooks.record("retry", reason);
+    m_hooks.abortAttempt();
     send(*choice.target, {}, now);
     return true;
 }
 
 bool RelaySession::continueFromBackup(MonotonicTime now)
 {
-    if (!m_backup || m_facts.deadline - now < LeastTimeForRetry || !m_hooks.mayContinue(*m_backup, now)) {
+    if (!m_backup || m_request.deadline - now < MinTimeForRetry || !m_hooks.mayContinue(*m_backup, now)) {
         return false;
     }
     const auto holder = *std::exchange(m_backup, std::nullopt);
-    m_hooks.note("continue_from_backup", holder.id);
-    m_hooks.abortSend();
-    continueAt(holder, holder.address + "/" + m_facts.id, now);
+    m_hooks.record("continue_from_backup", holder.id);
+    m_hooks.abortAttempt();
+    continueAt(holder, holder.address + "/" + m_request.id, now);
     return true;
 }
 
-bool RelaySession::awaitsMovedRun() const
+bool RelaySession::isAwaitingMigratedRun() const
 {
-    return !m_over && !m_accepted && !m_handle.empty() && m_target && m_target->id == m_destination.id && m_destination.id != m_source.id;
+    return !m_isOver && !m_isResponseAccepted && !m_copyHandle.empty() && m_target && m_target->id == m_destination.id && m_destination.id != m_source.id;
 }
 
 bool RelaySession::continueAtSource(MonotonicTime now)
 {
-    if (!awaitsMovedRun() || m_facts.deadline - now < LeastTimeForRetry || !m_hooks.mayContinue(m_source, now)) {
+    if (!isAwaitingMigratedRun() || m_request.deadline - now < MinTimeForRetry || !m_hooks.mayContinue(m_source, now)) {
         return false;
     }
-    m_hooks.note("continue_at_source", m_source.id);
-    m_hooks.abortSend();
-    continueAt(m_source, std::exchange(m_handle, {}), now);
+    m_hooks.record("continue_at_source", m_source.id);
+    m_hooks.abortAttempt();
+    continueAt(m_source, std::exchange(m_copyHandle, {}), now);
     return true;
 }
 
-void RelaySession::continueAt(const RelayTarget &target, const std::string &memorySource, MonotonicTime now)
+void RelaySession::continueAt(const RelayTarget &target, const std::string &kvCacheSource, MonotonicTime now)
 {
-    m_move = Move::None;
+    m_migration = Migration::None;
     if (!m_hooks.mayContinue(target, now)) {
-        m_hooks.note("no_continuation", target.id);
-        giveUp(RelayOutcome::TargetFailed, {});
+        m_hooks.record("no_continuation", target.id);
+        fail(RelayOutcome::TargetFailed, {});
         return;
     }
-    send(target, memorySource, now);
+    send(target, kvCacheSource, now);
 }
 
-void RelaySession::giveUp(RelayOutcome outcome, std::chrono::milliseconds retryAfter)
+void RelaySession::fail(RelayOutcome outcome, std::chrono::milliseconds retryAfter)
 {
-    m_over = true;
-    m_hooks.abortSend();
-    if (m_begun) {
-        m_hooks.cut(RelayOutcome::AnswerBroken);
+    m_isOver = true;
+    m_hooks.abortAttempt();
+    if (m_hasBegun) {
+        m_hooks.cut(RelayOutcome::ResponseBroken);
         return;
     }
     m_hooks.answer(outcome, retryAfter);
@@ -306,74 +306,74 @@
 
 void RelaySession::onTargetLeaving(MonotonicTime now)
 {
-    if (m_over || m_facts.kind != RelayKind::Stream || !m_target) {
+    if (m_isOver || m_request.kind != RouteKind::Stream || !m_target) {
         return;
     }
-    m_targetLeaving = true;
+    m_isTargetLeaving = true;
     // A copy that has grown with the generation takes over when the target is gone, and needs nothing of the link that others wait for.
-    if (m_move == Move::None && m_events.count() > 0 && !m_backup) {
-        startCopy(now);
+    if (m_migration == Migration::None && m_events.count() > 0 && !m_backup) {
+        startMigration(now);
     }
 }
 
-void RelaySession::startCopy(MonotonicTime now)
+void RelaySession::startMigration(MonotonicTime now)
 {
     auto excluded = m_excluded;
     excluded.insert(m_target->id);
     const auto destination = m_hooks.chooseDestination(excluded, now);
     if (!destination) {
-        m_hooks.note("stay", "no destination");
+        m_hooks.record("stay", "no destination");
         return;
     }
     m_destination = *destination;
-    m_move = Move::Copying;
-    m_hooks.note("copy", m_destination.id);
+    m_migration = Migration::Copying;
+    m_hooks.record("copy", m_destination.id);
     m_hooks.copy(*m_target, m_destination, false);
 }
 
 void RelaySession::onCopied(const CopyResult &result, MonotonicTime now)
 {
-    if (m_over) {
+    if (m_isOver) {
         return;
     }
-    if (m_move == Move::Copying) {
+    if (m_migration == Migration::Copying) {
         if (result.kind == CopyResult::Kind::Copied) {
-            m_move = Move::Stopping;
+            m_migration = Migration::Stopping;
             m_source = *m_target;
-            m_hooks.note("stop_and_copy", m_destination.id);
+            m_hooks.record("stop_and_copy", m_destination.id);
             m_hooks.copy(m_source, m_destination, true);
             return;
         }
-        m_move = Move::None;
-        if (result.kind == CopyResult::Kind::NoRoom) {
+        m_migration = Migration::None;
+        if (result.kind == CopyResult::Kind::DestinationUnavailable) {
             m_excluded.insert(m_destination.id);
         }
         return;
     }
-    if (m_move != Move::Stopping) {
+    if (m_migration != Migration::Stopping) {
         return;
     }
     const bool hasCopy = result.kind == CopyResult::Kind::Copied;
-    const bool keptAtSource = result.kind == CopyResult::Kind::NoRoom && !result.handle.empty();
-    if (!hasCopy && !keptAtSource) {
-        m_move = Move::None;
-        m_hooks.note("copy_failed", "no handle");
+    const bool isKeptAtSource = result.kind == CopyResult::Kind::DestinationUnavailable && !result.handle.empty();
+    if (!hasCopy && !isKeptAtSource) {
+        m_migration = Migration::None;
+        m_hooks.record("copy_failed", "no handle");
         if (!m_target) {
             m_target = m_source;
-            onFailure(UpstreamResult::Broken, false, now);
+            onFailure(ExchangeResult::Broken, false, now);
         }
         return;
     }
-    m_handle = m_source.address + "/" + result.handle;
+    m_copyHandle = m_source.address + "/" + result.handle;
     // The source keeps the memory of a run that it has stopped.
-    if (keptAtSource || !m_hooks.mayContinue(m_destination, now)) {
+    if (isKeptAtSource || !m_hooks.mayContinue(m_destination, now)) {
         m_destination = m_source;
     }
     if (m_target) {
-        m_move = Move::Draining;
+        m_migration = Migration::Draining;
         return;
     }
-    continueAt(m_destination, m_handle, now);
+    continueAt(m_destination, m_copyHandle, now);
 }
 
 void RelaySession::onBackupLost()
@@ -383,31 +383,31 @@
 
 void RelaySession::onDeadline(MonotonicTime)
 {
-    if (m_over) {
+    if (m_isOver) {
         return;
     }
     // A send whose answer has not arrived may have been run.
-    const bool mayHaveRun = m_mayHaveRun || (m_target && !m_begun);
-    giveUp(mayHaveRun ? RelayOutcome::TimedOut : RelayOutcome::TimedOutNotRun, std::chrono::milliseconds(300));
+    const bool mayHaveRun = m_mayHaveRun || (m_target && !m_hasBegun);
+    fail(mayHaveRun ? RelayOutcome::TimedOut : RelayOutcome::TimedOutNotRun, std::chrono::milliseconds(300));
 }
 
-void RelaySession::onCallerGone()
+void RelaySession::onCallerDisconnected()
 {
-    if (m_over) {
+    if (m_isOver) {
         return;
     }
-    m_over = true;
-    m_hooks.abortSend();
+    m_isOver = true;
+    m_hooks.abortAttempt();
 }
 
-void RelaySession::onSilence(MonotonicTime now)
+void RelaySession::onStreamTimeout(MonotonicTime now)
 {
-    if (m_over || m_move != Move::None) {
+    if (m_isOver || m_migration != Migration::None) {
         return;
     }
-    m_hooks.note("silent", m_target ? m_target->id : "");
-    m_hooks.abortSend();
-    onFailure(UpstreamResult::Broken, false, now);
+    m_hooks.record("silent", m_target ? m_target->id : "");
+    m_hooks.abortAttempt();
+    onFailure(ExchangeResult::Broken, false, now);
 }
 
 } // namespace Jujube
--- a/Libraries/LibRelay/RelaySession.h
+++ b/Libraries/LibRelay/RelaySession.h
@@ -27,10 +27,10 @@
 };
 
 // What a session needs to know about its request.
-struct RelayFacts {
+struct RequestProperties {
     // By which engines name a copy of the generation that has grown with it.
     std::string id;
-    RelayKind kind = RelayKind::OneTime;
+    RouteKind kind = RouteKind::OneTime;
     // Only for streams: another target may continue after the last event, reading everything anew.
     bool resumable = false;
     int maxAttempts = 1;
@@ -40,12 +40,12 @@
     // Whether the request may run again when its outcome is unknown.
     bool isRepeatable() const
     {
-        return kind == RelayKind::Repeatable || (kind == RelayKind::Stream && resumable);
+        return kind == RouteKind::Repeatable || (kind == RouteKind::Stream && resumable);
     }
 };
 
 // One send of the request to a target.
-struct RelaySend {
+struct RelayAttempt {
     RelayTarget target;
     // First send of the request, or a further one that counts against the retry budget.
     int attempt = 1;
@@ -53,15 +53,15 @@
     // A stream goes on after this event.
     std::optional<int64_t> lastEventId;
     // Where the memory of the running generation comes from: the address of an engine and the name of the copy. Empty for a run from the start.
-    std::string memorySource;
+    std::string kvCacheSource;
     // An engine that keeps a copy of the generation as it grows. Nothing for none.
     std::optional<RelayTarget> backup;
 };
 
 // The choice of a target, or why there is none.
-struct RelayChoice {
+struct TargetChoice {
     std::optional<RelayTarget> target;
-    RelayOutcome refusal = RelayOutcome::NoTarget;
+    RelayOutcome rejection = RelayOutcome::NoTarget;
     std::chrono::milliseconds retryAfter {500};
 };
 
@@ -75,17 +75,17 @@
         // A copy of the generation is in progress already.
         Busy,
         // The destination has no room or cannot be reached. If the run was to stop, it has stopped, and its memory stays at the source.
-        NoRoom,
+        DestinationUnavailable,
         // No answer; the run may have stopped.
         Unknown,
     };
     Kind kind = Kind::Unknown;
     std::string handle;
-    int64_t eventsMade = 0;
+    int64_t eventsProduced = 0;
 };
 
 // The head of a target's answer, as far as decisions depend on it.
-struct TargetAnswer {
+struct TargetResponse {
     int status = 0;
     // The target says that it did not run the request.
     bool notRun = false;
@@ -97,13 +97,13 @@
     // The target says that it leaves.
     bool leaving = false;
     // The target turned the request away and wants nothing from this relay for so long.
-    std::optional<std::chrono::milliseconds> quietFor;
+    std::optional<std::chrono::milliseconds> cooldown;
     // Length of the body, if the target has declared it.
     std::optional<uint64_t> length;
 };
 
 // How an exchange with a target ended, for the session.
-enum class UpstreamResult {
+enum class ExchangeResult {
     Complete,
     NotSent,
     Broken,
@@ -116,7 +116,7 @@
 public:
     struct Hooks {
         // Chooses a target. `excluded` are targets that must not be chosen.
-        std::function<RelayChoice(const std::set<std::string> &excluded, MonotonicTime now)> choose;
+        std::function<TargetChoice(const std::set<std::string> &excluded, MonotonicTime now)> choose;
         // Chooses an engine that keeps a copy of the generation as it grows on its target. Nothing if none is worth its memory.
         std::function<std::optional<RelayTarget>(const RelayTarget &target, MonotonicTime now)> chooseBackup;
         // Chooses the destination of a move away from a target that leaves.
@@ -125,32 +125,32 @@
         // alone, and the generation does not crash its targets.
         std::function<bool(const RelayTarget &target, MonotonicTime now)> mayContinue;
         // Takes one retry out of the budget of the service.
-        std::function<bool(MonotonicTime now)> takeRetry;
-        std::function<void(const RelaySend &send)> send;
+        std::function<bool(MonotonicTime now)> tryTakeRetry;
+        std::function<void(const RelayAttempt &send)> send;
         // Ends the current exchange with a target by closing its connection.
-        std::function<void()> abortSend;
+        std::function<void()> abortAttempt;
         // Orders the engine that runs the generation to copy it; answered with onCopied().
         std::function<void(const RelayTarget &source, const RelayTarget &destination, bool stop)> copy;
         // Passes the head of the target's current answer on to the caller. Without a length the body follows in chunks.
-        std::function<void(std::optional<uint64_t> length)> beginAnswer;
+        std::function<void(std::optional<uint64_t> length)> beginResponse;
         std::function<void(std::string_view bytes)> write;
-        std::function<void()> finishAnswer;
+        std::function<void()> finishResponse;
         // Ends the request with an answer of the gateway's own.
         std::function<void(RelayOutcome outcome, std::chrono::milliseconds retryAfter)> answer;
         // Closes the caller's channel: the answer has begun and cannot be completed.
         std::function<void(RelayOutcome outcome)> cut;
         // For the log: what was decided and why.
-        std::function<void(std::string_view decision, std::string_view reason)> note;
+        std::function<void(std::string_view decision, std::string_view reason)> record;
     };
 
-    RelaySession(RelayFacts facts, Hooks hooks);
+    RelaySession(RequestProperties request, Hooks hooks);
 
     void start(MonotonicTime now);
 
     // The head of an answer to the current send. Returns false if the answer is not to be read any further; the driver then closes the connection.
-    bool onHead(const TargetAnswer &answer, MonotonicTime now);
+    bool onHead(const TargetResponse &answer, MonotonicTime now);
     void onBody(std::string_view bytes, MonotonicTime now);
-    void onEnd(UpstreamResult result, MonotonicTime now);
+    void onEnd(ExchangeResult result, MonotonicTime now);
 
     // The target that runs the request leaves, and the request may be copied to another one now. May be called again after a copy that failed.
     void onTargetLeaving(MonotonicTime now);
@@ -163,13 +163,13 @@
     }
 
     void onDeadline(MonotonicTime now);
-    void onCallerGone();
+    void onCallerDisconnected();
     // The stream has been silent for longer than a healthy target's would be.
-    void onSilence(MonotonicTime now);
+    void onStreamTimeout(MonotonicTime now);
 
     bool isOver() const
     {
-        return m_over;
+        return m_isOver;
     }
 
     const std::optional<RelayTarget> &target() const
@@ -183,21 +183,21 @@
     }
 
     // Whether a copy of the generation is being made.
-    bool isMoving() const
+    bool isMigrating() const
     {
-        return m_move != Move::None;
+        return m_migration != Migration::None;
     }
 
     // Whether a generation that was moved has been sent to its destination, and the destination has not answered.
-    bool awaitsMovedRun() const;
+    bool isAwaitingMigratedRun() const;
 
-    int sendCount() const
+    int attemptCount() const
     {
-        return m_sends;
+        return m_attempts;
     }
 
 private:
-    enum class Move {
+    enum class Migration {
         None,
         // The run goes on while its memory is copied.
         Copying,
@@ -207,52 +207,52 @@
         Draining,
     };
 
-    void place(MonotonicTime now);
-    void send(const RelayTarget &target, const std::string &memorySource, MonotonicTime now);
+    void startRun(MonotonicTime now);
+    void send(const RelayTarget &target, const std::string &kvCacheSource, MonotonicTime now);
     // Handles an exchange that produced no usable answer.
-    void onFailure(UpstreamResult result, bool notRun, MonotonicTime now);
+    void onFailure(ExchangeResult result, bool notRun, MonotonicTime now);
     // Sends the request to another target if time and, unless the last one was never reached, the budget allow it.
-    bool retry(std::string_view reason, bool wasReached, MonotonicTime now);
+    bool tryRetry(std::string_view reason, bool countsAgainstBudget, MonotonicTime now);
     bool continueFromBackup(MonotonicTime now);
     // After a move whose destination has not begun: the source keeps the memory of a generation that it stopped, until its copy is used.
     bool continueAtSource(MonotonicTime now);
-    void continueAt(const RelayTarget &target, const std::string &memorySource, MonotonicTime now);
-    void startCopy(MonotonicTime now);
+    void continueAt(const RelayTarget &target, const std::string &kvCacheSource, MonotonicTime now);
+    void startMigration(MonotonicTime now);
     // Ends the request with an answer of the gateway's own, or cuts the answer if it has begun.
-    void giveUp(RelayOutcome outcome, std::chrono::milliseconds retryAfter);
-    void begin(std::optional<uint64_t> length);
-    void deliver(std::string_view bytes);
+    void fail(RelayOutcome outcome, std::chrono::milliseconds retryAfter);
+    void ensureResponseBegun(std::optional<uint64_t> length);
+    void writeEvents(std::string_view bytes);
     void complete();
 
-    const RelayFacts m_facts;
+    const RequestProperties m_request;
     const Hooks m_hooks;
     std::optional<RelayTarget> m_target;
     std::optional<RelayTarget> m_backup;
     std::set<std::string> m_excluded;
     EventSplitter m_events;
     // Body bytes of an answer that is not a stream, held back until the answer is whole.
-    std::string m_held;
-    TargetAnswer m_answer;
+    std::string m_bufferedBody;
+    TargetResponse m_response;
     // An answer to the current send has been accepted.
-    bool m_accepted = false;
+    bool m_isResponseAccepted = false;
     // The caller has the head of an answer.
-    bool m_begun = false;
+    bool m_hasBegun = false;
     // When a refused request may come back, by the last choice that found no target.
     std::chrono::milliseconds m_retryAfter {300};
     // A byte of the request may have reached a target that did not deny having run it.
     bool m_mayHaveRun = false;
-    bool m_over = false;
+    bool m_isOver = false;
     // The exchange continues a generation whose head the caller has already.
-    bool m_continuing = false;
-    int m_sends = 0;
+    bool m_isContinuation = false;
+    int m_attempts = 0;
     int m_runs = 0;
     int m_rejections = 0;
-    int m_unreached = 0;
-    Move m_move = Move::None;
-    bool m_targetLeaving = false;
+    int m_unreachable = 0;
+    Migration m_migration = Migration::None;
+    bool m_isTargetLeaving = false;
     RelayTarget m_source;
     RelayTarget m_destination;
-    std::string m_handle;
+    std::string m_copyHandle;
 };
 
 } // namespace Jujube
--- a/Libraries/LibRelay/GatewayShare.h
+++ b/Libraries/LibRelay/RelayShare.h
@@ -7,9 +7,9 @@
 
 // One gateway's share of a bound that all gateways keep to together without talk. It counts one gateway more than is seen, because views lag when one starts or
 // returns.
-inline double gatewayShare(double bound, int liveGateways)
+inline double relayShare(double bound, int liveRelays)
 {
-    return bound / (std::max(1, liveGateways) + 1);
+    return bound / (std::max(1, liveRelays) + 1);
 }
 
 } // namespace Jujube
--- a/Libraries/LibRelay/RouteTable.cpp
+++ b/Libraries/LibRelay/RouteTable.cpp
@@ -5,14 +5,14 @@
 namespace Jujube
 {
 
-std::string_view nameOf(RelayKind kind)
+std::string_view nameOf(RouteKind kind)
 {
     switch (kind) {
-    case RelayKind::Repeatable:
+    case RouteKind::Repeatable:
         return "repeatable";
-    case RelayKind::OneTime:
+    case RouteKind::OneTime:
         return "one_time";
-    case RelayKind::Stream:
+    case RouteKind::Stream:
         return "stream";
     }
     return "unknown";
--- a/Libraries/LibRelay/ServiceRetryBudget.cpp
+++ b/Libraries/LibRelay/ServiceRetryBudget.cpp
@@ -1,6 +1,6 @@
 #include <LibRelay/ServiceRetryBudget.h>
 
-#include <LibRelay/GatewayShare.h>
+#include <LibRelay/RelayShare.h>
 
 namespace Jujube
 {
@@ -21,17 +21,17 @@
     }
 }
 
-void ServiceRetryBudget::noteRequest(MonotonicTime now)
+void ServiceRetryBudget::recordRequest(MonotonicTime now)
 {
     expire(now);
     m_requests.push_back(now);
 }
 
-bool ServiceRetryBudget::tryRetry(int liveGateways, MonotonicTime now)
+bool ServiceRetryBudget::tryRetry(int liveRelays, MonotonicTime now)
 {
     expire(now);
-    const double bound = m_options.ratio * static_cast<double>(m_requests.size()) + gatewayShare(m_options.slack, liveGateways);
-    if (static_cast<double>(m_retries.size() + 1) > m_options.usedShare * bound) {
+    const double bound = m_options.ratio * static_cast<double>(m_requests.size()) + relayShare(m_options.slack, liveRelays);
+    if (static_cast<double>(m_retries.size() + 1) > m_options.usedFraction * bound) {
         return false;
     }
     m_retries.push_back(now);
--- a/Libraries/LibRelay/ServiceRetryBudget.h
+++ b/Libraries/LibRelay/ServiceRetryBudget.h
@@ -18,14 +18,14 @@
         double slack = 50;
         std::chrono::milliseconds window {10000};
         // Part of the bound that is used. The rest covers windows that are cut differently.
-        double usedShare = 0.9;
+        double usedFraction = 0.9;
     };
 
     explicit ServiceRetryBudget(Options options);
 
-    void noteRequest(MonotonicTime now);
+    void recordRequest(MonotonicTime now);
     // Takes one retry out of the budget. Returns false if none is left.
-    bool tryRetry(int liveGateways, MonotonicTime now);
+    bool tryRetry(int liveRelays, MonotonicTime now);
 
 private:
     void expire(MonotonicTime now);
--- a/Libraries/LibRelay/ReaderElection.cpp
+++ b/Libraries/LibRelay/StoreReaderElection.cpp
@@ -1,16 +1,16 @@
-#include <LibRelay/ReaderElection.h>
+#include <LibRelay/StoreReaderElection.h>
 
 #include <algorithm>
 
 namespace Jujube
 {
 
-ReaderElection::ReaderElection(Options options)
+StoreReaderElection::StoreReaderElection(Options options)
     : m_options(std::move(options))
 {
 }
 
-bool ReaderElection::decide(const std::vector<std::string> &readingPeers, int liveRelays, MonotonicTime now, uint64_t random)
+bool StoreReaderElection::decide(const std::vector<std::string> &readingPeers, int liveRelays, MonotonicTime now, uint64_t random)
 {
     const auto before = std::count_if(readingPeers.begin(), readingPeers.end(), [&](const std::string &peer) { return peer < m_options.node; });
     if (m_reading) {
@@ -22,8 +22,8 @@
         return false;
     }
     if (!m_startAt) {
-        const auto longest = (m_options.spread * std::max(1, liveRelays - 1)).count();
-        m_startAt = now + std::chrono::milliseconds(static_cast<int64_t>(random % static_cast<uint64_t>(longest)));
+        const auto maxDelayMs = (m_options.startDelayPerRelay * std::max(1, liveRelays - 1)).count();
+        m_startAt = now + std::chrono::milliseconds(static_cast<int64_t>(random % static_cast<uint64_t>(maxDelayMs)));
     }
     m_reading = now >= *m_startAt;
     if (m_reading) {
--- a/Libraries/LibRelay/TargetBalancer.h
+++ b/Libraries/LibRelay/TargetBalancer.h
@@ -2,9 +2,9 @@
 
 #include <absl/container/flat_hash_map.h>
 #include <LibCore/Time.h>
-#include <LibRelay/ColdRate.h>
-#include <LibRelay/QuietTargets.h>
+#include <LibRelay/ColdTargetRateLimiter.h>
 #include <LibRelay/RelayDocument.h>
+#include <LibRelay/TargetCooldowns.h>
 #include <LibRelay/TargetLoad.h>
 #include <LibRelay/TargetTable.h>
 #include <map>
@@ -25,7 +25,7 @@
     int64_t expectedTokens = 0;
     int priority = 0;
     // Is copied to another engine when its engine leaves.
-    bool isMovable = false;
+    bool isMigratable = false;
 };
 
 enum class RunEnd {
@@ -49,7 +49,7 @@
         double otherRegionCost = 16;
         // Further cost of another region in fleets whose relays tell loads across regions with a delay: many may choose the same target there.
         double delayedLoadCost = 90;
-        int relaysWithPromptLoads = 12;
+        int maxRelaysWithPromptLoads = 12;
         // Prompt tokens that an engine reads in a millisecond beside the running generations, with which the prompt's chunks take turns.
         double prefillTokensPerMs = 7.5;
         // Cost of one more run on an engine, in milliseconds.
@@ -59,14 +59,14 @@
         std::chrono::milliseconds timeToSend {700};
         double sendCostPerSecond = 250;
         // Part of an engine's memory above which a further run costs more, as memory may run out.
-        double memoryKnee = 0.85;
-        double memoryCost = 6000;
+        double memoryThreshold = 0.85;
+        double memoryPressureCost = 6000;
         // Random spread that keeps gateways with the same view from choosing the same target, in milliseconds.
-        double spread = 12;
+        double costJitter = 12;
         // A target that failed to connect is avoided for this time, and for twice as long after each further failure, up to the longest.
         std::chrono::milliseconds unreachableTime {1500};
-        std::chrono::milliseconds longestUnreachableTime {12000};
-        QuietTargets::Options quiet;
+        std::chrono::milliseconds maxUnreachableTime {12000};
+        TargetCooldowns::Options cooldowns;
     };
 
     struct Query {
@@ -74,10 +74,10 @@
         std::set<std::string> excluded;
         // Regions in which the target must be. Nothing for anywhere.
         std::optional<std::vector<std::string>> homeRegions;
-        int liveGateways = 1;
-        ColdSharers coldSharers;
+        int liveRelays = 1;
+        ColdRateParticipants coldRateParticipants;
         // For a copy of a running generation: no run is started, so the cold rate does not apply.
-        bool isMove = false;
+        bool isMigration = false;
         // The target that the generation leaves. Copies from different targets go to different ones where there is room, because copies to one target queue
         // behind each other on its link.
         std::string source;
@@ -87,7 +87,7 @@
         // Only targets of this data centre. Empty for any.
         std::string dataCentre;
         // Only targets in which the run fits below this part of the memory.
-        std::optional<double> mostMemory;
+        std::optional<double> maxMemoryShare;
     };
 
     struct Choice {
@@ -95,7 +95,7 @@
         // Targets that were looked at: all of the service, or a sample of a large fleet.
         int candidates = 0;
         // The first of them that asked to be left alone may get work again then.
-        std::optional<MonotonicTime> quietUntil;
+        std::optional<MonotonicTime> cooldownUntil;
     };
 
     explicit TargetBalancer(Options options);
@@ -103,18 +103,18 @@
     Choice choose(const Query &query, const TargetTable &targets, const RelayService &service, MonotonicTime now, uint64_t random) const;
 
     // Bookkeeping of this gateway's own runs.
-    void started(const std::string &request, const std::string &target, const RunDemand &demand, MonotonicTime now);
-    void produced(const std::string &request, int64_t tokens);
-    void ended(const std::string &request, RunEnd end, MonotonicTime now);
-    void unreachable(const std::string &target, MonotonicTime now);
+    void onRunStarted(const std::string &request, const std::string &target, const RunDemand &demand, MonotonicTime now);
+    void onTokensProduced(const std::string &request, int64_t tokens);
+    void onRunEnded(const std::string &request, RunEnd end, MonotonicTime now);
+    void markUnreachable(const std::string &target, MonotonicTime now);
     // The target answers, or another one has its name now.
-    void reachable(const std::string &target);
+    void markReachable(const std::string &target);
     // A send of a request that goes on elsewhere got no usable answer.
-    void failed(const std::string &target, MonotonicTime now);
+    void onAttemptFailed(const std::string &target, MonotonicTime now);
     // Targets that asked this gateway to be left alone for a while.
-    QuietTargets &quiet()
+    TargetCooldowns &cooldowns()
     {
-        return m_quiet;
+        return m_cooldowns;
     }
     // A copy of a run's memory that is kept on a target.
     void setCopy(const std::string &request, const std::string &target, int64_t tokens);
@@ -132,7 +132,7 @@
     std::vector<TargetLoad> peerLoads(const std::string &peer) const;
     TargetLoad peerLoad(const std::string &peer, const std::string &target) const;
     // Length that a run has produced so far, in tokens.
-    int64_t producedBy(const std::string &request) const;
+    int64_t producedTokens(const std::string &request) const;
     TargetLoad loadOf(const std::string &target) const;
     double failureShare(const std::string &target, MonotonicTime now) const;
     void expire(MonotonicTime now);
@@ -141,7 +141,7 @@
     struct Run {
         std::string target;
         RunDemand demand;
-        int64_t produced = 0;
+        int64_t producedTokens = 0;
         bool hasBackup = false;
     };
     using Loads = absl::flat_hash_map<std::string, TargetLoad>;
@@ -163,25 +163,25 @@
     bool mayStart(const KnownTarget &target, const Query &query, const RelayService &service, MonotonicTime now) const;
     double engineCost(const TargetLoad &load, const EngineProfile &engine, const RunDemand &demand) const;
     double serviceCost(const TargetLoad &load, int slots) const;
-    double distanceCost(const std::string &dataCentre, int liveGateways) const;
+    double distanceCost(const std::string &dataCentre, int liveRelays) const;
     bool isUnreachable(const std::string &target, MonotonicTime now) const;
     bool isHome(const std::optional<std::vector<std::string>> &homes, const std::string &dataCentre) const;
-    void applyOwn(const Run &run, int sign);
-    void noteBackup(const std::string &request, bool hasBackup);
-    static void change(Loads &loads, const TargetLoad &load, int sign);
-    void noteHealth(const std::string &target, bool failed, MonotonicTime now);
+    void addOwnLoad(const Run &run, int sign);
+    void setHasBackup(const std::string &request, bool hasBackup);
+    static void addLoad(Loads &loads, const TargetLoad &load, int sign);
+    void recordResult(const std::string &target, bool hasFailed, MonotonicTime now);
 
     const Options m_options;
     absl::flat_hash_map<std::string, Run> m_runs;
     // Copies of generations' memory, by request.
     absl::flat_hash_map<std::string, TargetLoad> m_copies;
-    Loads m_own;
-    absl::flat_hash_map<std::string, std::vector<TargetLoad>> m_peers;
+    Loads m_ownLoads;
+    absl::flat_hash_map<std::string, std::vector<TargetLoad>> m_peerLoads;
     // Sum of all peers' loads by target.
-    Loads m_peerSums;
+    Loads m_peerLoadSums;
     absl::flat_hash_map<std::string, Health> m_health;
-    ColdRate m_coldRate;
-    QuietTargets m_quiet;
+    ColdTargetRateLimiter m_coldRateLimiter;
+    TargetCooldowns m_cooldowns;
 };
 
 } // namespace Jujube
--- a/Libraries/LibRelay/TargetTable.cpp
+++ b/Libraries/LibRelay/TargetTable.cpp
@@ -11,9 +11,9 @@
 {
 }
 
-void TargetTable::noteChange(KnownTarget &target, MonotonicTime now, Source source)
+void TargetTable::recordChange(KnownTarget &target, MonotonicTime now, Source source)
 {
-    if (source == Source::FirstHand) {
+    if (source == Source::Direct) {
         target.changedAt = now;
     }
 }
@@ -21,22 +21,22 @@
 bool TargetTable::markLeaving(KnownTarget &target, MonotonicTime now, Source source)
 {
     m_digest.reset();
-    target.lapsedUntil.reset();
+    target.reregistrationDeadline.reset();
     target.entry.leaving = true;
     if (target.leavingSince) {
         return false;
     }
     target.leavingSince = now;
-    noteChange(target, now, source);
+    recordChange(target, now, source);
     return true;
 }
 
-bool TargetTable::markSaidLeaving(KnownTarget &target, MonotonicTime now, Source source)
+bool TargetTable::markReportedLeaving(KnownTarget &target, MonotonicTime now, Source source)
 {
-    if (!target.entry.saidLeaving) {
-        target.entry.saidLeaving = true;
+    if (!target.entry.reportedLeaving) {
+        target.entry.reportedLeaving = true;
         // The others learn of it, also if the list has called the target leaving already.
-        noteChange(target, now, source);
+        recordChange(target, now, source);
     }
     return markLeaving(target, now, source);
 }
@@ -51,36 +51,36 @@
     }
     const bool isNew = target.entry.id.empty() || entry.incarnation > target.entry.incarnation;
     const bool isSameLifetime = !isNew && entry.incarnation == target.entry.incarnation;
-    if (isSameLifetime && entry.saidLeaving && !target.entry.saidLeaving) {
-        return markSaidLeaving(target, now, source);
+    if (isSameLifetime && entry.reportedLeaving && !target.entry.reportedLeaving) {
+        return markReportedLeaving(target, now, source);
     }
     if (!isNew && (!isSameLifetime || entry.version < target.entry.version)) {
         return false;
     }
-    const bool saidLeaving = isSameLifetime && target.entry.saidLeaving;
-    if (isNew || (entry.address != target.entry.address && !saidLeaving)) {
+    const bool reportedLeaving = isSameLifetime && target.entry.reportedLeaving;
+    if (isNew || (entry.address != target.entry.address && !reportedLeaving)) {
         target = {};
-        noteChange(target, now, source);
+        recordChange(target, now, source);
     }
     target.entry = entry;
-    target.entry.saidLeaving = entry.saidLeaving || saidLeaving;
-    if (target.lapsedUntil) {
-        target.lapsedUntil.reset();
-        noteChange(target, now, source);
+    target.entry.reportedLeaving = entry.reportedLeaving || reportedLeaving;
+    if (target.reregistrationDeadline) {
+        target.reregistrationDeadline.reset();
+        recordChange(target, now, source);
     }
     if (entry.coldLeft.count() > 0) {
         if (now >= target.coldUntil) {
-            noteChange(target, now, source);
+            recordChange(target, now, source);
         }
         target.coldUntil = now + entry.coldLeft;
     }
-    if (target.entry.leaving || target.entry.saidLeaving) {
+    if (target.entry.leaving || target.entry.reportedLeaving) {
         return markLeaving(target, now, source);
     }
     if (target.leavingSince) {
         // The entry had lapsed and is back.
         target.leavingSince.reset();
-        noteChange(target, now, source);
+        recordChange(target, now, source);
     }
     return false;
 }
@@ -99,20 +99,20 @@
     if (!afterOutage || target.leavingSince) {
         return markLeaving(target, now);
     }
-    if (!target.lapsedUntil) {
+    if (!target.reregistrationDeadline) {
         m_digest.reset();
-        target.lapsedUntil = now + m_options.lapseGrace;
+        target.reregistrationDeadline = now + m_options.reregistrationGrace;
     }
     return false;
 }
 
-bool TargetTable::noteLeaving(const std::string &id, int64_t incarnation, MonotonicTime now)
+bool TargetTable::recordLeaving(const std::string &id, int64_t incarnation, MonotonicTime now)
 {
     const auto found = m_targets.find(id);
     if (found == m_targets.end() || found->second.entry.incarnation != incarnation) {
         return false;
     }
-    return markSaidLeaving(found->second, now, Source::FirstHand);
+    return markReportedLeaving(found->second, now, Source::Direct);
 }
 
 std::vector<TargetEntry> TargetTable::recentChanges(std::chrono::milliseconds within, MonotonicTime now) const
@@ -147,7 +147,7 @@
 {
     uint64_t digest = 0;
     for (const auto &[id, target] : m_targets) {
-        if (!target.leavingSince && !target.lapsedUntil) {
+        if (!target.leavingSince && !target.reregistrationDeadline) {
             const auto text = id + ' ' + std::to_string(target.entry.incarnation) + ' ' + target.entry.address;
             digest ^= XXH3_64bits(text.data(), text.size());
         }
@@ -159,25 +159,25 @@
 {
     std::vector<std::string> leaving;
     for (auto &[id, target] : m_targets) {
-        if (target.lapsedUntil && now >= *target.lapsedUntil && markLeaving(target, now)) {
+        if (target.reregistrationDeadline && now >= *target.reregistrationDeadline && markLeaving(target, now)) {
             leaving.push_back(id);
         }
     }
-    const auto isForgotten = [&](const KnownTarget &target) {
-        return target.leavingSince && now - *target.leavingSince > (target.entry.saidLeaving ? m_options.saidLeavingMemory : m_options.memory);
+    const auto isRetentionOver = [&](const KnownTarget &target) {
+        return target.leavingSince && now - *target.leavingSince > (target.entry.reportedLeaving ? m_options.reportedLeavingRetention : m_options.retention);
     };
-    if (absl::erase_if(m_targets, [&](const auto &item) { return isForgotten(item.second); }) > 0) {
+    if (absl::erase_if(m_targets, [&](const auto &item) { return isRetentionOver(item.second); }) > 0) {
         m_byService.reset();
     }
     return leaving;
 }
 
-bool TargetTable::setDataCentreOut(const std::string &name, bool out, MonotonicTime now)
+bool TargetTable::setDataCentreOut(const std::string &name, bool isOut, MonotonicTime now)
 {
-    if (out) {
-        return m_out.insert(name).second;
+    if (isOut) {
+        return m_dataCentresOut.insert(name).second;
     }
-    if (m_out.erase(name) == 0) {
+    if (m_dataCentresOut.erase(name) == 0) {
         return false;
     }
     for (auto &[id, target] : m_targets) {
@@ -188,20 +188,20 @@
     return true;
 }
 
-std::vector<std::string> TargetTable::leavingLately(const std::string &service, MonotonicTime now) const
+std::vector<std::string> TargetTable::recentlyLeaving(const std::string &service, MonotonicTime now) const
 {
     std::vector<std::string> result;
     for (const auto &[id, target] : m_targets) {
-        if (target.leavingSince && now - *target.leavingSince < m_options.notice && target.entry.service == service) {
+        if (target.leavingSince && now - *target.leavingSince < m_options.leavingNotice && target.entry.service == service) {
             result.push_back(id);
         }
     }
     return result;
 }
 
-bool TargetTable::isOut(const std::string &dataCentre) const
+bool TargetTable::isOutOfService(const std::string &dataCentre) const
 {
-    return m_out.contains(dataCentre);
+    return m_dataCentresOut.contains(dataCentre);
 }
 
 const KnownTarget *TargetTable::find(std::string_view id) const
@@ -231,7 +231,7 @@
 
 bool TargetTable::isUsable(const KnownTarget &target, MonotonicTime) const
 {
-    return !target.leavingSince && !isOut(target.entry.dataCentre);
+    return !target.leavingSince && !isOutOfService(target.entry.dataCentre);
 }
 
 } // namespace Jujube
--- a/Libraries/LibRelay/TargetTable.h
+++ b/Libraries/LibRelay/TargetTable.h
@@ -23,7 +23,7 @@
     int slots = 1;
     bool leaving = false;
     // The target itself has said that it leaves. This holds for the rest of its lifetime, whatever later entries say.
-    bool saidLeaving = false;
+    bool reportedLeaving = false;
     // How long the target stays cold, from when the entry was written.
     std::chrono::milliseconds coldLeft {0};
     // The store's version of the entry.
@@ -37,7 +37,7 @@
     // When the target's entry disappeared from the list or began to say that it leaves.
     std::optional<MonotonicTime> leavingSince;
     // The entry lapsed while the list was out of reach, and the target may register again until this time.
-    std::optional<MonotonicTime> lapsedUntil;
+    std::optional<MonotonicTime> reregistrationDeadline;
     // When this gateway learnt at first hand what others may not know yet: a new target, a new address, or that the target leaves.
     MonotonicTime changedAt;
 };
@@ -48,15 +48,15 @@
 public:
     struct Options {
         // A target whose entry lapsed while the store was away registers again within this time of the store's return.
-        std::chrono::milliseconds lapseGrace {2000};
+        std::chrono::milliseconds reregistrationGrace {2000};
         // For this time after the return of a data centre its targets may be cold, although their entries do not say so yet.
         std::chrono::milliseconds coldAfterReturn {3000};
         // Longest notice with which targets leave while their generations are being copied.
-        std::chrono::milliseconds notice {2500};
+        std::chrono::milliseconds leavingNotice {2500};
         // Targets that left are forgotten after this time.
-        std::chrono::seconds memory {20};
+        std::chrono::seconds retention {20};
         // Targets that said themselves that they leave are kept longer, so that no late entry brings them back.
-        std::chrono::seconds saidLeavingMemory {300};
+        std::chrono::seconds reportedLeavingRetention {300};
     };
 
     explicit TargetTable(Options options);
@@ -64,13 +64,13 @@
     // Who has told of an entry.
     enum class Source {
         // The list in the store, or the target itself.
-        FirstHand,
+        Direct,
         // Another gateway, which tells all others itself.
         Peer,
     };
 
     // Takes in an entry. An older one than the known one has no effect. Returns whether a target became leaving by it.
-    bool set(const TargetEntry &entry, MonotonicTime now, Source source = Source::FirstHand);
+    bool set(const TargetEntry &entry, MonotonicTime now, Source source = Source::Direct);
 
     // The entry has disappeared as of a version of the store. `afterOutage` tells that the list was out of reach until now, so that the entry may only have
     // lapsed. Returns whether a target became leaving by it.
@@ -85,18 +85,18 @@
     uint64_t digest() const;
 
     // The target itself says that it leaves. Returns whether it became leaving by that.
-    bool noteLeaving(const std::string &id, int64_t incarnation, MonotonicTime now);
+    bool recordLeaving(const std::string &id, int64_t incarnation, MonotonicTime now);
 
     // Lets grace periods run out. Returns the targets that became leaving.
     std::vector<std::string> tick(MonotonicTime now);
 
     // Takes a data centre out of service, or back. Returns whether that is a change.
-    bool setDataCentreOut(const std::string &name, bool out, MonotonicTime now);
+    bool setDataCentreOut(const std::string &name, bool isOut, MonotonicTime now);
     const absl::flat_hash_set<std::string> &dataCentresOut() const
     {
-        return m_out;
+        return m_dataCentresOut;
     }
-    bool isOut(const std::string &dataCentre) const;
+    bool isOutOfService(const std::string &dataCentre) const;
 
     const KnownTarget *find(std::string_view id) const;
 
@@ -107,7 +107,7 @@
     bool isUsable(const KnownTarget &target, MonotonicTime now) const;
 
     // Targets of a service that have begun to leave within the notice that targets usually give.
-    std::vector<std::string> leavingLately(const std::string &service, MonotonicTime now) const;
+    std::vector<std::string> recentlyLeaving(const std::string &service, MonotonicTime now) const;
 
     const absl::flat_hash_map<std::string, KnownTarget> &targets() const
     {
@@ -125,14 +125,14 @@
 private:
     using TargetsByService = absl::flat_hash_map<std::string, std::vector<const KnownTarget *>>;
 
-    bool markLeaving(KnownTarget &target, MonotonicTime now, Source source = Source::FirstHand);
-    bool markSaidLeaving(KnownTarget &target, MonotonicTime now, Source source);
-    static void noteChange(KnownTarget &target, MonotonicTime now, Source source);
+    bool markLeaving(KnownTarget &target, MonotonicTime now, Source source = Source::Direct);
+    bool markReportedLeaving(KnownTarget &target, MonotonicTime now, Source source);
+    static void recordChange(KnownTarget &target, MonotonicTime now, Source source);
     uint64_t computeDigest() const;
 
     const Options m_options;
     absl::flat_hash_map<std::string, KnownTarget> m_targets;
-    absl::flat_hash_set<std::string> m_out;
+    absl::flat_hash_set<std::string> m_dataCentresOut;
     // Every heartbeat of a peer asks for the digest; it is computed when a target has changed.
     mutable std::optional<uint64_t> m_digest;
     // Made for the first placement after a target came, went or changed its service.
--- a/Libraries/LibRelayServer/PeerLink.cpp
+++ b/Libraries/LibRelayServer/PeerLink.cpp
@@ -3,7 +3,7 @@
 #include <absl/strings/str_cat.h>
 #include <algorithm>
 #include <LibCore/Error.h>
-#include <LibRelay/PeerNewsCodec.h>
+#include <LibRelay/PeerHeartbeatCodec.h>
 #include <LibRelay/RegionLoads.h>
 
 namespace Jujube
@@ -81,31 +81,31 @@
 void PeerLink::onDatagram(std::string_view datagram, MonotonicTime now)
 {
     m_core.metrics.count("relay_heartbeats_received_total");
-    auto news = decodePeerNews(datagram);
-    if (!news) {
+    auto heartbeatMessage = decodePeerHeartbeat(datagram);
+    if (!heartbeatMessage) {
         m_core.metrics.count("relay_peer_datagrams_malformed_total");
         return;
     }
-    auto loads = std::exchange(news->loads, {});
-    const auto change = m_core.peers.hear(*news, now);
+    auto loads = std::exchange(heartbeatMessage->loads, {});
+    const auto change = m_core.peers.handleHeartbeat(*heartbeatMessage, now);
     if (change == PeerTable::Change::Stale) {
         return;
     }
-    m_core.balancer.setPeerLoads(news->node, std::move(loads));
+    m_core.balancer.setPeerLoads(heartbeatMessage->node, std::move(loads));
     m_core.checkTurns(now);
-    if (news->onlyLoads) {
+    if (heartbeatMessage->onlyLoads) {
         return;
     }
-    m_hooks.onTargetNews(*news, now);
-    for (const auto &crash : news->crashes) {
+    m_hooks.onTargetNews(*heartbeatMessage, now);
+    for (const auto &crash : heartbeatMessage->crashes) {
         m_core.crashes.merge(crash, now);
     }
-    m_hooks.onNewerDocument(*news);
+    m_hooks.onNewerDocument(*heartbeatMessage);
     if (change == PeerTable::Change::Joined) {
         auto line = m_core.line(EventKind::PeerJoined);
-        line.add("peer", news->node).add("address", news->callers);
+        line.add("peer", heartbeatMessage->node).add("address", heartbeatMessage->callers);
         m_core.log(line);
-        introduce(news->peers, now);
+        introduce(heartbeatMessage->peers, now);
     }
 }
 
@@ -115,18 +115,18 @@
     if (!endpoint) {
         return;
     }
-    auto introduction = news(now);
+    auto introduction = heartbeatMessage(now);
     introduction.known = m_core.peers.knownAddresses(MostIntroducedAddresses, now, m_core.random());
     LoopError ignored;
-    m_socket.send_to(boost::asio::buffer(encodePeerNews(introduction)), endpoint->udp(), 0, ignored);
+    m_socket.send_to(boost::asio::buffer(encodePeerHeartbeat(introduction)), endpoint->udp(), 0, ignored);
 }
 
-void PeerLink::sendSoon(NewsAudience audience)
+void PeerLink::sendSoon(NotificationScope audience)
 {
-    if (audience == NewsAudience::None) {
+    if (audience == NotificationScope::None) {
         return;
     }
-    m_soonToAll = m_soonToAll || audience == NewsAudience::All;
+    m_soonToAll = m_soonToAll || audience == NotificationScope::All;
     if (!m_soon) {
         m_soon = true;
         armTimer(SoonPause);
@@ -147,7 +147,7 @@
         m_loadSoon = false;
         const auto now = monotonicNow();
         if (isSmallFleet(now)) {
-            sendNews(NewsAudience::All, now);
+            sendNews(NotificationScope::All, now);
         } else {
             sendLoads(now);
         }
@@ -177,58 +177,58 @@
         m_core.log(line);
     }
     const bool toAll = wasSoonToAll || beatsToAll(now) || ++m_beats % BeatsPerFarBeat == 0;
-    sendNews(toAll ? NewsAudience::All : NewsAudience::Region, now);
-    armTimer(beatPause(now));
+    sendNews(toAll ? NotificationScope::All : NotificationScope::Region, now);
+    armTimer(heartbeatInterval(now));
 }
 
-std::chrono::milliseconds PeerLink::beatPause(MonotonicTime now) const
+std::chrono::milliseconds PeerLink::heartbeatInterval(MonotonicTime now) const
 {
-    return std::clamp(BeatPausePerRelay * m_core.peers.liveCount(now), ShortestBeatPause, LongestBeatPause);
+    return std::clamp(BeatPausePerRelay * m_core.peers.liveRelayCount(now), ShortestBeatPause, LongestBeatPause);
 }
 
 bool PeerLink::beatsToAll(MonotonicTime now) const
 {
     // Relays of other regions use the targets here seldom, and bytes between regions have a price. All depend on those that read the store and on those that
     // tell the loads of a region.
-    return isSmallFleet(now) || m_core.peers.speaksForRegion(m_core.options.node, now) || m_hooks.isReading();
+    return isSmallFleet(now) || m_core.peers.isRegionRepresentative(m_core.options.node, now) || m_hooks.isReading();
 }
 
 void PeerLink::sendLoads(MonotonicTime now)
 {
-    const PeerNews loads {.node = m_core.options.node,
-                          .incarnation = m_incarnation,
-                          .sequence = ++m_sequence,
-                          .peers = m_core.options.peers.toText(),
-                          .onlyLoads = true,
-                          .loads = m_core.balancer.ownLoads()};
-    sendTo(PeerTable::Reach::Region, encodePeerNews(loads), now);
+    const PeerHeartbeat loads {.node = m_core.options.node,
+                               .incarnation = m_incarnation,
+                               .sequence = ++m_sequence,
+                               .peers = m_core.options.peers.toText(),
+                               .onlyLoads = true,
+                               .loads = m_core.balancer.ownLoads()};
+    sendTo(PeerTable::RecipientScope::Region, encodePeerHeartbeat(loads), now);
 }
 
 bool PeerLink::isSmallFleet(MonotonicTime now) const
 {
-    return m_core.peers.liveCount(now) <= SmallFleet;
+    return m_core.peers.liveRelayCount(now) <= SmallFleet;
 }
 
-void PeerLink::sendNews(NewsAudience audience, MonotonicTime now)
+void PeerLink::sendNews(NotificationScope audience, MonotonicTime now)
 {
-    auto heartbeat = news(now);
-    heartbeat.beatPause = beatPause(now);
-    auto datagram = encodePeerNews(heartbeat);
-    sendTo(PeerTable::Reach::Region, datagram, now);
-    if (audience == NewsAudience::Region) {
+    auto heartbeat = heartbeatMessage(now);
+    heartbeat.heartbeatInterval = heartbeatInterval(now);
+    auto datagram = encodePeerHeartbeat(heartbeat);
+    sendTo(PeerTable::RecipientScope::Region, datagram, now);
+    if (audience == NotificationScope::Region) {
         return;
     }
     if (!beatsToAll(now)) {
-        heartbeat.beatPause *= BeatsPerFarBeat;
+        heartbeat.heartbeatInterval *= BeatsPerFarBeat;
     }
     if (!isSmallFleet(now)) {
         heartbeat.loads = farLoads(heartbeat.loads, now);
-        datagram = encodePeerNews(heartbeat);
+        datagram = encodePeerHeartbeat(heartbeat);
     }
-    sendTo(PeerTable::Reach::Elsewhere, datagram, now);
+    sendTo(PeerTable::RecipientScope::OutsideRegion, datagram, now);
 }
 
-void PeerLink::sendTo(PeerTable::Reach reach, const std::string &datagram, MonotonicTime now)
+void PeerLink::sendTo(PeerTable::RecipientScope reach, const std::string &datagram, MonotonicTime now)
 {
     for (const auto &address : m_core.peers.recipients(reach, now)) {
         if (const auto endpoint = Endpoint::parse(address)) {
@@ -242,28 +242,28 @@
 
 std::vector<TargetLoad> PeerLink::farLoads(const std::vector<TargetLoad> &own, MonotonicTime now) const
 {
-    if (!m_core.peers.speaksForRegion(m_core.options.node, now)) {
+    if (!m_core.peers.isRegionRepresentative(m_core.options.node, now)) {
         return loadsForOtherRegions(own, std::nullopt);
     }
     std::vector<std::vector<TargetLoad>> others;
-    for (const auto *peer : m_core.peers.aliveInRegion(now)) {
-        others.push_back(m_core.balancer.peerLoads(peer->news.node));
+    for (const auto *peer : m_core.peers.livePeersInRegion(now)) {
+        others.push_back(m_core.balancer.peerLoads(peer->heartbeatMessage.node));
     }
     return loadsForOtherRegions(own, others);
 }
 
-PeerNews PeerLink::news(MonotonicTime now)
+PeerHeartbeat PeerLink::heartbeatMessage(MonotonicTime now)
 {
-    PeerNews result {.node = m_core.options.node,
-                     .incarnation = m_incarnation,
-                     .sequence = ++m_sequence,
-                     .callers = m_core.options.callers.toText(),
-                     .peers = m_core.options.peers.toText(),
-                     .dataCentre = m_core.options.dataCentre,
-                     .accepting = m_core.routes != nullptr && !m_core.isDraining(),
-                     .loads = m_core.balancer.ownLoads(),
-                     .crashes = m_core.crashes.reports(MostCrashes, now),
-                     .known = m_core.peers.knownAddresses(MostKnownAddresses, now, m_core.random())};
+    PeerHeartbeat result {.node = m_core.options.node,
+                          .incarnation = m_incarnation,
+                          .sequence = ++m_sequence,
+                          .callers = m_core.options.callers.toText(),
+                          .peers = m_core.options.peers.toText(),
+                          .dataCentre = m_core.options.dataCentre,
+                          .accepting = m_core.routes != nullptr && !m_core.isDraining(),
+                          .loads = m_core.balancer.ownLoads(),
+                          .crashes = m_core.crashes.reports(MostCrashes, now),
+                          .known = m_core.peers.knownAddresses(MostKnownAddresses, now, m_core.random())};
     result.targets = m_core.targets.recentChanges(NewsTime, now);
     m_hooks.describeTables(result, now);
     return result;
--- a/Libraries/LibRelayServer/PeerLink.h
+++ b/Libraries/LibRelayServer/PeerLink.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibLoop/Asio.h>
-#include <LibRelay/NewsAudience.h>
+#include <LibRelay/NotificationScope.h>
 #include <LibRelayServer/RelayCore.h>
 
 namespace Jujube
@@ -13,11 +13,11 @@
 public:
     struct Hooks {
         // A peer's document table has a newer change than this relay's.
-        std::function<void(const PeerNews &news)> onNewerDocument;
+        std::function<void(const PeerHeartbeat &heartbeatMessage)> onNewerDocument;
         // A peer tells what it knows about targets.
-        std::function<void(const PeerNews &news, MonotonicTime now)> onTargetNews;
+        std::function<void(const PeerHeartbeat &heartbeatMessage, MonotonicTime now)> onTargetNews;
         // Completes the own heartbeat by what is known about the store's tables.
-        std::function<void(PeerNews &news, MonotonicTime now)> describeTables;
+        std::function<void(PeerHeartbeat &heartbeatMessage, MonotonicTime now)> describeTables;
         // Whether this relay reads the store for others.
         std::function<bool()> isReading;
     };
@@ -28,14 +28,14 @@
     absl::Status start();
 
     // Sends a heartbeat before the next one is due, because something changed that others should know.
-    void sendSoon(NewsAudience audience);
+    void sendSoon(NotificationScope audience);
 
     // Tells the relays that use the same targets most that this relay's load has changed. Load pattern: in a large fleet each relay places a call or two a
     // second, which end before most others hear of them; only the placement of generations is told at once there.
     void tellLoadSoon(bool isGeneration);
 
     // Pause between two regular heartbeats, by the number of relays.
-    std::chrono::milliseconds beatPause(MonotonicTime now) const;
+    std::chrono::milliseconds heartbeatInterval(MonotonicTime now) const;
 
 private:
     void receive();
@@ -43,16 +43,16 @@
     void beat();
     // Tells a relay that was heard for the first time which others there are.
     void introduce(const std::string &address, MonotonicTime now);
-    void sendNews(NewsAudience audience, MonotonicTime now);
+    void sendNews(NotificationScope audience, MonotonicTime now);
     // A short message in place of a heartbeat.
     void sendLoads(MonotonicTime now);
-    void sendTo(PeerTable::Reach reach, const std::string &datagram, MonotonicTime now);
+    void sendTo(PeerTable::RecipientScope reach, const std::string &datagram, MonotonicTime now);
     bool isSmallFleet(MonotonicTime now) const;
     // Whether every heartbeat goes to all regions.
     bool beatsToAll(MonotonicTime now) const;
     // The loads for relays of other regions, in a large fleet.
     std::vector<TargetLoad> farLoads(const std::vector<TargetLoad> &own, MonotonicTime now) const;
-    PeerNews news(MonotonicTime now);
+    PeerHeartbeat heartbeatMessage(MonotonicTime now);
     void armTimer(std::chrono::milliseconds pause);
 
     RelayCore &m_core;
--- a/Libraries/LibRelayServer/Relay.cpp
+++ b/Libraries/LibRelayServer/Relay.cpp
@@ -48,16 +48,16 @@
     : m_core(loop, std::move(options), std::move(dialect), lines)
     , m_settings(std::move(settings))
     , m_peers(m_core,
-              {.onNewerDocument = [this](const PeerNews &news) { onPeerDocument(news); },
-               .onTargetNews = [this](const PeerNews &news, MonotonicTime now) { onPeerTargets(news, now); },
+              {.onNewerDocument = [this](const PeerHeartbeat &heartbeatMessage) { onPeerDocument(heartbeatMessage); },
+               .onTargetNews = [this](const PeerHeartbeat &heartbeatMessage, MonotonicTime now) { onPeerTargets(heartbeatMessage, now); },
                .describeTables =
-                   [this](PeerNews &news, MonotonicTime now) {
-                       news.documentTableVersion = m_documents->changeVersion();
-                       news.targetsDigest = m_core.targets.digest();
-                       news.targetsVersion = m_targets->version();
-                       news.targetsAge = m_targets->age(now);
-                       news.reading = readsTables(now);
-                       news.trying = triesStore(ownReads(), now);
+                   [this](PeerHeartbeat &heartbeatMessage, MonotonicTime now) {
+                       heartbeatMessage.documentTableVersion = m_documents->changeVersion();
+                       heartbeatMessage.targetsDigest = m_core.targets.digest();
+                       heartbeatMessage.targetsVersion = m_targets->version();
+                       heartbeatMessage.targetsAge = m_targets->age(now);
+                       heartbeatMessage.reading = readsTables(now);
+                       heartbeatMessage.trying = isTryingStore(ownReads(), now);
                    },
                .isReading = [this] { return m_readers.isReading(); }})
     , m_timer(loop)
@@ -71,7 +71,7 @@
 {
     auto relay = std::unique_ptr<Relay>(new Relay(loop, std::move(options), std::move(dialect), lines, std::move(settings)));
     relay->followStore();
-    relay->m_core.onTurnEnded = [raw = relay.get()] { raw->m_peers.sendSoon(NewsAudience::All); };
+    relay->m_core.onTurnEnded = [raw = relay.get()] { raw->m_peers.sendSoon(NotificationScope::All); };
     relay->m_core.onLoadChanged = [raw = relay.get()](bool isGeneration) { raw->m_peers.tellLoadSoon(isGeneration); };
     if (auto status = relay->listen(); !status.ok()) {
         return status;
@@ -172,9 +172,9 @@
     if (!m_core.isDraining()) {
         add(m_core.options.callers.toText(), m_core.options.dataCentre);
     }
-    for (const auto *peer : m_core.peers.alive(now)) {
-        if (peer->news.accepting) {
-            add(peer->news.callers, peer->news.dataCentre);
+    for (const auto *peer : m_core.peers.livePeers(now)) {
+        if (peer->heartbeatMessage.accepting) {
+            add(peer->heartbeatMessage.callers, peer->heartbeatMessage.dataCentre);
         }
     }
     if (nearest.size() < LeastAddresses) {
@@ -229,7 +229,7 @@
         m_core.metrics.set("relay_requests_running", static_cast<double>(m_core.running.size()));
     }
     tellWhetherReading(now);
-    if (m_ticks % TicksPerEngineWatch == 0 && isListLost(listSources(now), now)) {
+    if (m_ticks % TicksPerEngineWatch == 0 && isTargetListStale(listSources(now), now)) {
         watchEngines();
     }
     checkDrain(now);
@@ -243,7 +243,7 @@
 
 bool Relay::readsTables(MonotonicTime now) const
 {
-    return readsStore(ownReads(), now) && !m_documents->failingSince();
+    return hasRecentStoreRead(ownReads(), now) && !m_documents->failingSince();
 }
 
 void Relay::tellWhetherReading(MonotonicTime now)
@@ -251,11 +251,11 @@
     const bool reads = readsTables(now);
     if (reads != m_wasReading) {
         m_wasReading = reads;
-        m_peers.sendSoon(NewsAudience::All);
+        m_peers.sendSoon(NotificationScope::All);
     }
 }
 
-ListSources Relay::ownReads() const
+TargetListState Relay::ownReads() const
 {
     return {.isReading = m_readers.isReading(),
             .failingSince = m_targets->failingSince(),
@@ -264,12 +264,12 @@
             .currentAt = m_targets->currentAt()};
 }
 
-ListSources Relay::listSources(MonotonicTime now) const
+TargetListState Relay::listSources(MonotonicTime now) const
 {
     auto sources = ownReads();
-    sources.beatPause = m_peers.beatPause(now);
-    const auto peers = m_core.peers.alive(now);
-    sources.peerReads = std::any_of(peers.begin(), peers.end(), [](const Peer *peer) { return peer->news.reading; });
+    sources.heartbeatInterval = m_peers.heartbeatInterval(now);
+    const auto peers = m_core.peers.livePeers(now);
+    sources.hasReadingPeer = std::any_of(peers.begin(), peers.end(), [](const Peer *peer) { return peer->heartbeatMessage.reading; });
     return sources;
 }
 
@@ -278,7 +278,7 @@
     absl::flat_hash_set<std::string> engines;
     for (const auto *exchange : m_core.running) {
         const auto *known = m_core.targets.find(exchange->target());
-        if (exchange->isMovable() && known && !known->leavingSince) {
+        if (exchange->isMigratable() && known && !known->leavingSince) {
             engines.insert(exchange->target());
         }
     }
@@ -314,7 +314,7 @@
     auto line = m_core.line(EventKind::ProcessDraining);
     line.add("requests", static_cast<int64_t>(m_core.running.size()));
     m_core.log(line);
-    m_peers.sendSoon(NewsAudience::All);
+    m_peers.sendSoon(NotificationScope::All);
 }
 
 void Relay::checkDrain(MonotonicTime now)
--- a/Libraries/LibRelayServer/Relay.h
+++ b/Libraries/LibRelayServer/Relay.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibLoop/CallerListener.h>
-#include <LibRelay/ListFreshness.h>
-#include <LibRelay/ReaderElection.h>
+#include <LibRelay/StoreReaderElection.h>
+#include <LibRelay/TargetListFreshness.h>
 #include <LibRelayServer/PeerLink.h>
 #include <LibRelayServer/RelayCore.h>
 #include <LibRelayServer/TableFollower.h>
@@ -59,17 +59,17 @@
     std::vector<std::string> addressesFor(const std::string &dataCentre, const std::string &region, MonotonicTime now) const;
     void askPeer(TableFollower &follower, const std::string &table, const std::string &address);
     void askPeersIfLost(MonotonicTime now);
-    void onPeerDocument(const PeerNews &news);
-    void onPeerTargets(const PeerNews &news, MonotonicTime now);
+    void onPeerDocument(const PeerHeartbeat &heartbeatMessage);
+    void onPeerTargets(const PeerHeartbeat &heartbeatMessage, MonotonicTime now);
     bool mayRead(MonotonicTime now);
-    void askPeerForTargets(const PeerNews &news);
+    void askPeerForTargets(const PeerHeartbeat &heartbeatMessage);
     void takePeerTargets(const std::vector<TargetEntry> &entries, int64_t version, MonotonicTime now);
     void tick();
     // While nobody reads the list of targets, asks the engines that run movable generations whether they leave.
     void watchEngines();
     // This relay's reads of the targets, without what peers say, which every heartbeat asks for.
-    ListSources ownReads() const;
-    ListSources listSources(MonotonicTime now) const;
+    TargetListState ownReads() const;
+    TargetListState listSources(MonotonicTime now) const;
     // Whether other relays can rely on this one's reads.
     bool readsTables(MonotonicTime now) const;
     // Tells all relays at once when this one begins to read the store, or cannot any more.
@@ -93,7 +93,7 @@
     bool m_wasReading = false;
     bool m_askingPeerForDocument = false;
     bool m_askingPeerForTargets = false;
-    ReaderElection m_readers;
+    StoreReaderElection m_readers;
     // Since when a reading peer has known other targets than this relay.
     std::optional<MonotonicTime> m_differsSince;
 };
--- a/Libraries/LibRelayServer/RelayCore.cpp
+++ b/Libraries/LibRelayServer/RelayCore.cpp
@@ -30,8 +30,8 @@
     , channels(loopInUse)
     , client(loopInUse)
     , targets({})
-    , balancer({.region = options.region, .regions = options.regions, .quiet = {.longest = options.longestQuiet}})
-    , peers({.ownAddress = options.peers.toText(), .ownNode = options.node, .region = options.region, .regions = options.regions}, monotonicNow())
+    , balancer({.region = options.region, .regions = options.regions, .cooldowns = {.maxCooldown = options.longestQuiet}})
+    , peers({.ownAddress = options.peers.toText(), .ownName = options.node, .region = options.region, .regions = options.regions}, monotonicNow())
     , m_lines(lines)
     , m_random(std::random_device {}())
     , m_brokenTimer(loopInUse)
@@ -58,9 +58,9 @@
     return std::uniform_real_distribution<double>(0, 1)(m_random);
 }
 
-int RelayCore::liveGateways(MonotonicTime now) const
+int RelayCore::liveRelays(MonotonicTime now) const
 {
-    return peers.liveCount(now);
+    return peers.liveRelayCount(now);
 }
 
 MonotonicTime RelayCore::stopAt() const
@@ -84,7 +84,7 @@
     entry.add("target", target).add("reason", reason);
     log(entry);
     metrics.count("relay_targets_left_total");
-    moves.targetLeaves(target, waitForPeers(target, now), now);
+    moves.addLeavingTarget(target, waitForPeers(target, now), now);
     dropBackupsAt(target);
     for (auto *exchange : running) {
         if (exchange->target() == target) {
@@ -101,9 +101,9 @@
     }
 }
 
-void RelayCore::noteLeaving(const std::string &target, int64_t incarnation, std::string_view reason, MonotonicTime now)
+void RelayCore::recordLeaving(const std::string &target, int64_t incarnation, std::string_view reason, MonotonicTime now)
 {
-    if (targets.noteLeaving(target, incarnation, now)) {
+    if (targets.recordLeaving(target, incarnation, now)) {
         announceLeaving(target, reason, now);
         onTurnEnded();
     }
@@ -120,10 +120,10 @@
     std::chrono::milliseconds wait {0};
     // Relays beside the target go first: their copies are ordered and stopped in the shortest time.
     const bool ownIsFar = options.dataCentre != known->entry.dataCentre;
-    for (const auto *peer : peers.alive(now)) {
-        const auto movable = balancer.peerLoad(peer->news.node, target).movable;
-        const bool isFar = peer->news.dataCentre != known->entry.dataCentre;
-        if (movable > 0 && std::tie(isFar, peer->news.node) < std::tie(ownIsFar, options.node)) {
+    for (const auto *peer : peers.livePeers(now)) {
+        const auto movable = balancer.peerLoad(peer->heartbeatMessage.node, target).movable;
+        const bool isFar = peer->heartbeatMessage.dataCentre != known->entry.dataCentre;
+        if (movable > 0 && std::tie(isFar, peer->heartbeatMessage.node) < std::tie(ownIsFar, options.node)) {
             wait += std::chrono::milliseconds(static_cast<int64_t>(MillisecondsPerSecond * engine.secondsToSend(movable))) + CopyOverhead;
         }
     }
@@ -158,7 +158,7 @@
     const auto *known = targets.find(target);
     const auto endpoint = known ? Endpoint::parse(known->entry.address) : std::nullopt;
     const bool isProbe = broken.empty();
-    if (!endpoint || (isProbe && balancer.quiet().until(target, monotonicNow()))) {
+    if (!endpoint || (isProbe && balancer.cooldowns().until(target, monotonicNow()))) {
         return;
     }
     auto call = dialect.stateCall();
@@ -167,7 +167,7 @@
     client.call(*endpoint, call, [this, target, incarnation = known->entry.incarnation, broken](const LoopAnswer &answer) {
         const auto now = monotonicNow();
         if (answer.end == ChannelEnd::NotSent) {
-            balancer.unreachable(target, now);
+            balancer.markUnreachable(target, now);
             if (broken.empty()) {
                 return;
             }
@@ -180,7 +180,7 @@
         }
         const auto state = answer.isSuccess() ? dialect.decodeState(answer.body) : absl::StatusOr<EngineState>(EngineState {});
         if (state.ok() && state->leaving) {
-            noteLeaving(target, state->incarnation, "own report", now);
+            recordLeaving(target, state->incarnation, "own report", now);
         }
     });
 }
@@ -190,7 +190,7 @@
     bool released = false;
     for (const auto &target : moves.waitingTargets(now)) {
         if (waitForPeers(target, now).count() == 0) {
-            moves.release(target, now);
+            moves.grantTurn(target, now);
             released = true;
         }
     }
@@ -223,7 +223,7 @@
             }
         }
     }
-    const auto next = moves.nextTime();
+    const auto next = moves.nextDueTime();
     if (!next) {
         return;
     }
--- a/Libraries/LibRelayServer/RelayCore.h
+++ b/Libraries/LibRelayServer/RelayCore.h
@@ -7,7 +7,7 @@
 #include <LibLoop/LoopClient.h>
 #include <LibMetrics/Metrics.h>
 #include <LibPolicy/CrashSuspects.h>
-#include <LibRelay/MoveSchedule.h>
+#include <LibRelay/MigrationSchedule.h>
 #include <LibRelay/PeerTable.h>
 #include <LibRelay/RouteTable.h>
 #include <LibRelay/ServiceRetryBudget.h>
@@ -39,7 +39,7 @@
     TargetBalancer balancer;
     PeerTable peers;
     CrashSuspects crashes;
-    MoveSchedule moves;
+    MigrationSchedule moves;
     // Time of the SIGTERM.
     std::optional<MonotonicTime> drainingSince;
     // Requests that have been sent to a target and have not ended.
@@ -48,7 +48,7 @@
     ServiceRetryBudget &retryBudget(const std::string &service);
     uint64_t random();
     double randomUnit();
-    int liveGateways(MonotonicTime now) const;
+    int liveRelays(MonotonicTime now) const;
 
     // When the process exits at the latest after a SIGTERM.
     MonotonicTime stopAt() const;
@@ -68,7 +68,7 @@
     void dropBackupsAt(const std::string &target);
 
     // A target has said itself, by its report or in an answer, that it leaves.
-    void noteLeaving(const std::string &target, int64_t incarnation, std::string_view reason, MonotonicTime now);
+    void recordLeaving(const std::string &target, int64_t incarnation, std::string_view reason, MonotonicTime now);
 
     // Asks an engine for its state, and draws the conclusions: it leaves, or it has crashed. `broken` are digests of requests whose answers broke off there.
     void checkTarget(const std::string &target, const std::vector<uint64_t> &broken);
--- a/Libraries/LibRelayServer/RelayDialect.h
+++ b/Libraries/LibRelayServer/RelayDialect.h
@@ -51,7 +51,7 @@
     std::string leavingValue;
     std::string priority;
     std::string backup;
-    std::string memorySource;
+    std::string kvCacheSource;
     std::string lastEventId;
     // Number of prompt tokens and largest number of output tokens, separated by a comma.
     std::string usage;
--- a/Libraries/LibRelayServer/RelayExchange.cpp
+++ b/Libraries/LibRelayServer/RelayExchange.cpp
@@ -59,7 +59,7 @@
         return;
     }
     logAccepted(now);
-    m_core.retryBudget(m_admission.service->name).noteRequest(now);
+    m_core.retryBudget(m_admission.service->name).recordRequest(now);
     createSession();
     armDeadline();
     m_session->start(now);
@@ -74,7 +74,7 @@
                                           line.add("request", self->m_id).add("events", self->m_session->eventCount());
                                           self->m_core.log(line);
                                           self->m_core.metrics.count("relay_callers_gone_total");
-                                          self->m_session->onCallerGone();
+                                          self->m_session->onCallerDisconnected();
                                           self->over(RunEnd::Cancelled);
                                       }
                                   },
@@ -89,13 +89,13 @@
 std::optional<RelayOutcome> RelayExchange::admit(MonotonicTime now)
 {
     m_admission = admitRequest(m_routes.get(), claimsOf(m_request.head, m_core.dialect.fields), m_core.randomUnit(), now);
-    if (m_admission.refusal) {
-        return m_admission.refusal;
+    if (m_admission.rejection) {
+        return m_admission.rejection;
     }
     m_digest = CrashSuspects::fingerprint(m_admission.workspace ? m_admission.workspace->name : "", m_request.head.target, m_request.body);
     const auto verdict = m_core.crashes.verdict(m_digest, now).action;
     if (verdict == CrashVerdict::Action::Refuse || verdict == CrashVerdict::Action::Wait) {
-        return RelayOutcome::CrashesTargets;
+        return RelayOutcome::PoisonRequest;
     }
     if (m_core.isDraining() && !DrainAdmission().admits(m_admission.demand, m_core.stopAt(), now)) {
         return RelayOutcome::Draining;
@@ -124,7 +124,7 @@
     if (outcome == RelayOutcome::Draining) {
         return ElsewhereRetryAfter;
     }
-    if (outcome == RelayOutcome::CrashesTargets) {
+    if (outcome == RelayOutcome::PoisonRequest) {
         const auto until = m_core.crashes.verdict(m_digest, now).until;
         return std::max(DefaultRetryAfter, wholeMilliseconds(until - now));
     }
@@ -133,23 +133,23 @@
 
 void RelayExchange::createSession()
 {
-    const RelayFacts facts {.id = m_id,
-                            .kind = m_admission.route->kind,
-                            .resumable = m_admission.route->resumable,
-                            .maxAttempts = m_admission.route->maxAttempts,
-                            .deadline = m_admission.deadline - DeadlineMargin};
+    const RequestProperties facts {.id = m_id,
+                                   .kind = m_admission.route->kind,
+                                   .resumable = m_admission.route->resumable,
+                                   .maxAttempts = m_admission.route->maxAttempts,
+                                   .deadline = m_admission.deadline - DeadlineMargin};
     m_session = std::make_unique<RelaySession>(
         facts,
         RelaySession::Hooks {.choose = [this](const std::set<std::string> &excluded, MonotonicTime now) { return choose(excluded, now); },
                              .chooseBackup = [this](const RelayTarget &target, MonotonicTime now) { return chooseBackup(target, now); },
                              .chooseDestination = [this](const std::set<std::string> &excluded, MonotonicTime now) { return chooseDestination(excluded, now); },
                              .mayContinue = [this](const RelayTarget &target, MonotonicTime now) { return mayContinue(target, now); },
-                             .takeRetry
-                             = [this](MonotonicTime now) { return m_core.retryBudget(m_admission.service->name).tryRetry(m_core.liveGateways(now), now); },
-                             .send = [this](const RelaySend &order) { send(order); },
-                             .abortSend = [this] { abortSend(); },
+                             .tryTakeRetry
+                             = [this](MonotonicTime now) { return m_core.retryBudget(m_admission.service->name).tryRetry(m_core.liveRelays(now), now); },
+                             .send = [this](const RelayAttempt &order) { send(order); },
+                             .abortAttempt = [this] { abortAttempt(); },
                              .copy = [this](const RelayTarget &source, const RelayTarget &destination, bool stop) { copy(source, destination, stop); },
-                             .beginAnswer = [this](std::optional<uint64_t> length) { beginAnswer(length); },
+                             .beginResponse = [this](std::optional<uint64_t> length) { beginResponse(length); },
                              .write =
                                  [this](std::string_view bytes) {
                                      m_caller->write(bytes);
@@ -157,51 +157,51 @@
                                          m_upstream->pause();
                                      }
                                  },
-                             .finishAnswer = [this] { finishAnswer(); },
+                             .finishResponse = [this] { finishResponse(); },
                              .answer = [this](RelayOutcome outcome, std::chrono::milliseconds retryAfter) { answer(outcome, retryAfter); },
                              .cut = [this](RelayOutcome outcome) { cut(outcome); },
-                             .note = [this](std::string_view decision, std::string_view reason) { note(decision, reason); }});
+                             .record = [this](std::string_view decision, std::string_view reason) { record(decision, reason); }});
 }
 
-RelayChoice RelayExchange::choose(const std::set<std::string> &excluded, MonotonicTime now)
+TargetChoice RelayExchange::choose(const std::set<std::string> &excluded, MonotonicTime now)
 {
     const TargetBalancer::Query query {.demand = m_admission.demand,
                                        .excluded = excluded,
                                        .homeRegions = m_admission.homeRegions,
-                                       .liveGateways = m_core.liveGateways(now),
-                                       .coldSharers = m_core.peers.coldSharers(now)};
+                                       .liveRelays = m_core.liveRelays(now),
+                                       .coldRateParticipants = m_core.peers.coldRateParticipants(now)};
     const auto choice = m_core.balancer.choose(query, m_core.targets, *m_admission.service, now, m_core.random());
-    RelayChoice result;
+    TargetChoice result;
     if (choice.target) {
         result.target = RelayTarget::of(choice.target->entry);
-    } else if (choice.quietUntil) {
-        result.retryAfter = std::max(DefaultRetryAfter, std::chrono::ceil<std::chrono::milliseconds>(*choice.quietUntil - now));
+    } else if (choice.cooldownUntil) {
+        result.retryAfter = std::max(DefaultRetryAfter, std::chrono::ceil<std::chrono::milliseconds>(*choice.cooldownUntil - now));
     }
     return result;
 }
 
-void RelayExchange::send(const RelaySend &order)
+void RelayExchange::send(const RelayAttempt &order)
 {
     const auto now = monotonicNow();
     const auto endpoint = Endpoint::parse(order.target.address);
-    const bool mayReuse = m_admission.route->kind == RelayKind::Repeatable;
+    const bool mayReuse = m_admission.route->kind == RouteKind::Repeatable;
     m_upstream = mayReuse ? m_core.channels.acquire(*endpoint, now) : m_core.channels.fresh(*endpoint);
     m_sentAt = now;
     m_progressAt = now;
     if (m_sendFailed) {
-        m_core.balancer.failed(m_target, now);
+        m_core.balancer.onAttemptFailed(m_target, now);
         m_sendFailed = false;
     }
     const auto load = m_core.balancer.loadOf(order.target.id);
     m_core.balancer.dropCopy(m_id);
-    m_core.balancer.started(m_id, order.target.id, m_admission.demand, now);
+    m_core.balancer.onRunStarted(m_id, order.target.id, m_admission.demand, now);
     if (order.backup) {
         m_core.balancer.setBackup(m_id, order.backup->id, m_admission.demand.promptTokens + m_admission.demand.expectedTokens);
     }
-    if (order.memorySource.empty()) {
+    if (order.kvCacheSource.empty()) {
         m_core.onLoadChanged(m_admission.service->engine.has_value());
     } else {
-        m_core.balancer.quiet().noteContinuation(order.target.id);
+        m_core.balancer.cooldowns().recordContinuation(order.target.id);
         m_core.onTurnEnded();
     }
     m_target = order.target.id;
@@ -230,13 +230,13 @@
                                   }
                               }});
     armSilence();
-    if (!order.memorySource.empty() && m_core.targets.isLeaving(order.target.id)) {
+    if (!order.kvCacheSource.empty() && m_core.targets.isLeaving(order.target.id)) {
         // The generation went back to the engine that it was to leave.
         retryMoveLater();
     }
 }
 
-void RelayExchange::logSend(const RelaySend &order, const TargetLoad &load)
+void RelayExchange::logSend(const RelayAttempt &order, const TargetLoad &load)
 {
     auto line = m_core.line(EventKind::RelaySent);
     line.add("request", m_id)
@@ -250,8 +250,8 @@
     if (order.lastEventId) {
         line.add("last_event", *order.lastEventId);
     }
-    if (!order.memorySource.empty()) {
-        line.add("memory_from", order.memorySource);
+    if (!order.kvCacheSource.empty()) {
+        line.add("memory_from", order.kvCacheSource);
     }
     if (order.backup) {
         line.add("backup", order.backup->id);
@@ -270,7 +270,7 @@
         return false;
     }
     m_answerHead = head;
-    m_core.balancer.reachable(m_target);
+    m_core.balancer.markReachable(m_target);
     const auto answer = targetAnswerOf(head, length, fields);
     if (!answer.misdirected) {
         noteWishes(answer, now);
@@ -279,23 +279,23 @@
         m_sendFailed = true;
         auto line = m_core.line(EventKind::RelayTargetFailed);
         line.add("request", m_id).add("target", m_target).add("status", answer.status).add("not_run", answer.notRun ? 1 : 0);
-        if (answer.quietFor) {
-            line.add("quiet_ms", answer.quietFor->count());
+        if (answer.cooldown) {
+            line.add("quiet_ms", answer.cooldown->count());
         }
         m_core.log(line);
     }
-    // An answer that the session does not accept ends with abortSend().
+    // An answer that the session does not accept ends with abortAttempt().
     m_session->onHead(answer, now);
     return true;
 }
 
-void RelayExchange::noteWishes(const TargetAnswer &answer, MonotonicTime now)
+void RelayExchange::noteWishes(const TargetResponse &answer, MonotonicTime now)
 {
     if (answer.leaving) {
-        m_core.noteLeaving(m_target, m_targetIncarnation, "own answer", now);
+        m_core.recordLeaving(m_target, m_targetIncarnation, "own answer", now);
     }
-    if (answer.quietFor) {
-        m_core.balancer.quiet().note(m_target, *answer.quietFor, now);
+    if (answer.cooldown) {
+        m_core.balancer.cooldowns().record(m_target, *answer.cooldown, now);
         m_core.metrics.count("relay_targets_quiet_total");
     }
 }
@@ -327,7 +327,7 @@
         m_longestGap = std::max(m_longestGap, wholeMilliseconds(gap));
     }
     const auto events = m_session->eventCount();
-    m_core.balancer.produced(m_id, (events - m_eventsCounted) * m_admission.service->engine->tokensPerEvent);
+    m_core.balancer.onTokensProduced(m_id, (events - m_eventsCounted) * m_admission.service->engine->tokensPerEvent);
     m_lastEventAt = now;
     m_eventsCounted = events;
 }
@@ -346,19 +346,19 @@
             .add("after_ms", wholeMilliseconds(now - m_sentAt).count());
         m_core.log(line);
         m_core.metrics.count("relay_target_failures_total");
-        m_sendFailed = end == ChannelEnd::Broken && !m_session->isMoving();
+        m_sendFailed = end == ChannelEnd::Broken && !m_session->isMigrating();
         if (end == ChannelEnd::NotSent) {
-            m_core.balancer.unreachable(m_target, now);
-        } else if (!m_session->isMoving()) {
+            m_core.balancer.markUnreachable(m_target, now);
+        } else if (!m_session->isMigrating()) {
             m_core.noteBroken(m_target, m_digest);
             m_unannouncedEnds += m_core.targets.isLeaving(m_target) ? 0 : 1;
         }
     }
-    const auto result = end == ChannelEnd::Complete ? UpstreamResult::Complete : end == ChannelEnd::NotSent ? UpstreamResult::NotSent : UpstreamResult::Broken;
+    const auto result = end == ChannelEnd::Complete ? ExchangeResult::Complete : end == ChannelEnd::NotSent ? ExchangeResult::NotSent : ExchangeResult::Broken;
     m_session->onEnd(result, now);
 }
 
-void RelayExchange::abortSend()
+void RelayExchange::abortAttempt()
 {
     ++m_sendNumber;
     if (m_upstream) {
@@ -367,7 +367,7 @@
     }
 }
 
-void RelayExchange::beginAnswer(std::optional<uint64_t> length)
+void RelayExchange::beginResponse(std::optional<uint64_t> length)
 {
     auto head = forwardedAnswer(m_answerHead);
     const bool answerHasBody = hasBody(m_request.head.method, head.status);
@@ -377,7 +377,7 @@
     m_caller->begin(std::move(head), {.length = answerHasBody ? length : std::nullopt, .hasBody = answerHasBody});
 }
 
-void RelayExchange::finishAnswer()
+void RelayExchange::finishResponse()
 {
     auto line = m_core.line(EventKind::RelayFinished);
     const auto took = wholeMilliseconds(monotonicNow() - m_request.arrivedAt);
@@ -385,7 +385,7 @@
         .add("target", m_target)
         .add("status", m_answerHead.status)
         .add("events", m_session->eventCount())
-        .add("sends", m_session->sendCount())
+        .add("sends", m_session->attemptCount())
         .add("first_event_ms", m_firstEventAfter.count())
         .add("longest_gap_ms", m_longestGap.count())
         .add("took_ms", took.count());
@@ -426,7 +426,7 @@
     over(RunEnd::Failed);
 }
 
-void RelayExchange::note(std::string_view decision, std::string_view reason)
+void RelayExchange::record(std::string_view decision, std::string_view reason)
 {
     auto line = m_core.line(EventKind::RelayDecision);
     line.add("request", m_id).add("decision", decision).add("reason", reason);
@@ -446,10 +446,10 @@
 
 std::optional<std::chrono::milliseconds> RelayExchange::silenceLimit() const
 {
-    if (m_session->awaitsMovedRun()) {
+    if (m_session->isAwaitingMigratedRun()) {
         return MovedRunSilence;
     }
-    if (m_admission.route->kind != RelayKind::Stream || !m_admission.route->resumable) {
+    if (m_admission.route->kind != RouteKind::Stream || !m_admission.route->resumable) {
         return std::nullopt;
     }
     return m_eventsCounted == 0 ? FirstEventSilence : StreamSilence;
@@ -471,7 +471,7 @@
         const auto now = monotonicNow();
         const auto limitNow = self->silenceLimit();
         if (limitNow && now - self->m_progressAt >= *limitNow) {
-            self->m_session->onSilence(now);
+            self->m_session->onStreamTimeout(now);
         }
         if (!self->m_isOver) {
             self->armSilence();
@@ -485,7 +485,7 @@
         return;
     }
     m_isOver = true;
-    m_core.balancer.ended(m_id, end, monotonicNow());
+    m_core.balancer.onRunEnded(m_id, end, monotonicNow());
     m_core.balancer.dropCopy(m_id);
     m_core.running.erase(this);
     m_core.moves.remove(m_id);
--- a/Libraries/LibRelayServer/RelayExchange.h
+++ b/Libraries/LibRelayServer/RelayExchange.h
@@ -32,9 +32,9 @@
     // No copy could be ordered at the generation's turn: it is queued again a little later.
     void retryMoveLater();
 
-    bool isMovable() const
+    bool isMigratable() const
     {
-        return m_admission.demand.isMovable && !m_isOver;
+        return m_admission.demand.isMigratable && !m_isOver;
     }
 
     // Name of the target that the request was sent to last.
@@ -55,27 +55,27 @@
     void logAccepted(MonotonicTime now);
     std::chrono::milliseconds retryAfterFor(RelayOutcome outcome, MonotonicTime now) const;
     void createSession();
-    RelayChoice choose(const std::set<std::string> &excluded, MonotonicTime now);
+    TargetChoice choose(const std::set<std::string> &excluded, MonotonicTime now);
     // Where a copy of the generation may go from a target: to its data centre.
     TargetBalancer::Query copyQuery(const std::string &source, const std::set<std::string> &excluded, MonotonicTime now) const;
     std::optional<RelayTarget> chooseDestination(const std::set<std::string> &excluded, MonotonicTime now);
     bool mayContinue(const RelayTarget &holder, MonotonicTime now);
     std::optional<RelayTarget> chooseBackup(const RelayTarget &target, MonotonicTime now);
-    void send(const RelaySend &order);
-    void logSend(const RelaySend &order, const TargetLoad &load);
+    void send(const RelayAttempt &order);
+    void logSend(const RelayAttempt &order, const TargetLoad &load);
     bool onHead(const MessageHead &head, std::optional<uint64_t> length);
     // Takes in what a target says beside its answer: that it leaves, or wants to be left alone.
-    void noteWishes(const TargetAnswer &answer, MonotonicTime now);
+    void noteWishes(const TargetResponse &answer, MonotonicTime now);
     void onBody(std::string_view bytes);
     void noteEvents(MonotonicTime now);
     void onEnd(ChannelEnd end, const std::string &error);
-    void abortSend();
+    void abortAttempt();
     void copy(const RelayTarget &source, const RelayTarget &destination, bool stop);
-    void beginAnswer(std::optional<uint64_t> length);
+    void beginResponse(std::optional<uint64_t> length);
     void answer(RelayOutcome outcome, std::chrono::milliseconds retryAfter);
-    void finishAnswer();
+    void finishResponse();
     void cut(RelayOutcome outcome);
-    void note(std::string_view decision, std::string_view reason);
+    void record(std::string_view decision, std::string_view reason);
     void armDeadline();
     // How long a sound target would be silent at most. Nothing where only the deadline counts.
     std::optional<std::chrono::milliseconds> silenceLimit() const;
--- a/Libraries/LibRelayServer/RelayExchangeMoves.cpp
+++ b/Libraries/LibRelayServer/RelayExchangeMoves.cpp
@@ -31,8 +31,8 @@
     return {.demand = m_admission.demand,
             .excluded = excluded,
             .homeRegions = m_admission.homeRegions,
-            .liveGateways = m_core.liveGateways(now),
-            .isMove = true,
+            .liveRelays = m_core.liveRelays(now),
+            .isMigration = true,
             .source = source,
             .dataCentre = known ? known->entry.dataCentre : ""};
 }
@@ -40,15 +40,15 @@
 std::optional<RelayTarget> RelayExchange::chooseDestination(const std::set<std::string> &excluded, MonotonicTime now)
 {
     const auto &service = *m_admission.service;
-    if (!service.engine || !service.engine->canMove) {
+    if (!service.engine || !service.engine->canMigrate) {
         return std::nullopt;
     }
     auto query = copyQuery(m_target, excluded, now);
     auto &demand = query.demand;
     demand.expectedTokens = std::max(demand.expectedTokens, m_session->eventCount() * service.engine->tokensPerEvent);
-    query.otherSources = m_core.targets.leavingLately(service.name, now);
+    query.otherSources = m_core.targets.recentlyLeaving(service.name, now);
     auto choice = m_core.balancer.choose(query, m_core.targets, service, now, m_core.random());
-    const auto ownTokens = demand.promptTokens + m_core.balancer.producedBy(m_id);
+    const auto ownTokens = demand.promptTokens + m_core.balancer.producedTokens(m_id);
     const bool isLast = m_core.balancer.loadOf(m_target).movable <= ownTokens;
     if (!choice.target && isLast) {
         // A copy to another data centre takes many times as long, and would hold up the copies of all other generations on the source's link.
@@ -72,17 +72,17 @@
         return false;
     }
     const auto *known = m_core.targets.find(holder.id);
-    return !(known && m_core.targets.isOut(known->entry.dataCentre)) && m_core.balancer.quiet().mayContinue(holder.id, now);
+    return !(known && m_core.targets.isOutOfService(known->entry.dataCentre)) && m_core.balancer.cooldowns().mayContinue(holder.id, now);
 }
 
 std::optional<RelayTarget> RelayExchange::chooseBackup(const RelayTarget &target, MonotonicTime now)
 {
     const auto &service = *m_admission.service;
-    if (!m_admission.demand.isMovable || !service.engine->canBackUp || m_admission.demand.expectedTokens < LeastTokensForBackup) {
+    if (!m_admission.demand.isMigratable || !service.engine->canBackUp || m_admission.demand.expectedTokens < LeastTokensForBackup) {
         return std::nullopt;
     }
     auto query = copyQuery(target.id, {target.id}, now);
-    query.mostMemory = MostMemoryWithBackups;
+    query.maxMemoryShare = MostMemoryWithBackups;
     const auto choice = m_core.balancer.choose(query, m_core.targets, service, now, m_core.random());
     return choice.target ? std::optional(RelayTarget::of(choice.target->entry)) : std::nullopt;
 }
@@ -115,14 +115,14 @@
             .add("destination", destination.id)
             .add("stop", stop ? 1 : 0)
             .add("status", answer.status)
-            .add("events_made", result.eventsMade)
+            .add("events_made", result.eventsProduced)
             .add("took_ms", std::chrono::duration_cast<std::chrono::milliseconds>(now - orderedAt).count());
         self->m_core.log(line);
         if (self->m_isOver) {
             return;
         }
         self->m_session->onCopied(result, now);
-        if (!self->m_isOver && !self->m_session->isMoving()) {
+        if (!self->m_isOver && !self->m_session->isMigrating()) {
             self->m_core.moves.remove(self->m_id);
             self->moveAgainAfter(result.kind);
             self->m_core.runMoves();
@@ -136,7 +136,7 @@
         return;
     }
     m_core.balancer.dropCopy(m_id);
-    if (kind == CopyResult::Kind::NoRoom) {
+    if (kind == CopyResult::Kind::DestinationUnavailable) {
         // Another destination may have room.
         queueMove();
         return;
@@ -147,7 +147,7 @@
 
 void RelayExchange::queueMove()
 {
-    if (m_isOver || !m_admission.demand.isMovable || m_session->backup() || m_moveTries >= MostMoveTries) {
+    if (m_isOver || !m_admission.demand.isMigratable || m_session->backup() || m_moveTries >= MostMoveTries) {
         return;
     }
     ++m_moveTries;
@@ -162,7 +162,7 @@
         return false;
     }
     m_session->onTargetLeaving(now);
-    return !m_isOver && m_session->isMoving();
+    return !m_isOver && m_session->isMigrating();
 }
 
 void RelayExchange::retryMoveLater()
@@ -172,7 +172,7 @@
     }
     m_moveTimer.expires_after(MoveRetryPause);
     m_moveTimer.async_wait([weak = weak_from_this()](const LoopError &error) {
-        if (const auto self = weak.lock(); self && !error && !self->m_isOver && !self->m_session->isMoving()) {
+        if (const auto self = weak.lock(); self && !error && !self->m_isOver && !self->m_session->isMigrating()) {
             self->queueMove();
             self->m_core.runMoves();
         }
--- a/Libraries/LibRelayServer/RelayForwarding.cpp
+++ b/Libraries/LibRelayServer/RelayForwarding.cpp
@@ -48,19 +48,19 @@
 
 } // namespace
 
-RequestClaims claimsOf(const MessageHead &head, const RelayFieldNames &names)
+RequestAttributes claimsOf(const MessageHead &head, const RelayFieldNames &names)
 {
     const std::string_view target = head.target;
     const auto host = head.value("host");
     const auto authorization = head.value("authorization");
     const auto usage = head.value(names.usage);
     const auto comma = usage.find(',');
-    RequestClaims claims {.id = head.value(names.requestId),
-                          .host = host.substr(0, host.find(':')),
-                          .path = target.substr(0, target.find('?')),
-                          .promptTokens = numberIn(usage.substr(0, comma)),
-                          .mostTokens = comma == std::string_view::npos ? 0 : numberIn(usage.substr(comma + 1)),
-                          .lengthHint = numberIn(head.value(names.lengthHint))};
+    RequestAttributes claims {.id = head.value(names.requestId),
+                              .host = host.substr(0, host.find(':')),
+                              .path = target.substr(0, target.find('?')),
+                              .promptTokens = numberIn(usage.substr(0, comma)),
+                              .maxTokens = comma == std::string_view::npos ? 0 : numberIn(usage.substr(comma + 1)),
+                              .lengthHint = numberIn(head.value(names.lengthHint))};
     if (authorization.starts_with(BearerPrefix)) {
         claims.key = authorization.substr(BearerPrefix.size());
     }
@@ -70,7 +70,7 @@
     return claims;
 }
 
-std::string forwardedRequest(const CallerRequest &request, const RequestAdmission &admitted, const RelaySend &order, const RelayFieldNames &names)
+std::string forwardedRequest(const CallerRequest &request, const RequestAdmission &admitted, const RelayAttempt &order, const RelayFieldNames &names)
 {
     MessageHead head {.method = request.head.method, .target = request.head.target};
     for (const auto &field : request.head.fields) {
@@ -95,8 +95,8 @@
     if (order.backup) {
         head.set(names.backup, order.backup->address);
     }
-    if (!order.memorySource.empty()) {
-        head.set(names.memorySource, order.memorySource);
+    if (!order.kvCacheSource.empty()) {
+        head.set(names.kvCacheSource, order.kvCacheSource);
     }
     if (order.lastEventId) {
         head.set(names.lastEventId, absl::StrCat(*order.lastEventId));
@@ -104,7 +104,7 @@
     return requestText(head) + request.body;
 }
 
-TargetAnswer targetAnswerOf(const MessageHead &head, std::optional<uint64_t> length, const RelayFieldNames &names)
+TargetResponse targetAnswerOf(const MessageHead &head, std::optional<uint64_t> length, const RelayFieldNames &names)
 {
     return {.status = head.status,
             .notRun = head.has(names.notRun),
@@ -112,7 +112,7 @@
             .sealed = head.has(names.seal),
             .isStream = head.status / 100 == 2 && absl::StartsWithIgnoreCase(toAbsl(head.value("content-type")), toAbsl(EventStreamType)),
             .leaving = head.value(names.leaving) == names.leavingValue,
-            .quietFor = head.status == StatusUnavailable ? retryAfterOf(head) : std::nullopt,
+            .cooldown = head.status == StatusUnavailable ? retryAfterOf(head) : std::nullopt,
             .length = length};
 }
 
--- a/Libraries/LibRelayServer/RelayForwarding.h
+++ b/Libraries/LibRelayServer/RelayForwarding.h
@@ -11,13 +11,13 @@
 // Heads and texts of requests and answers on their way through a relay.
 
 // What a caller's request says of itself.
-RequestClaims claimsOf(const MessageHead &head, const RelayFieldNames &names);
+RequestAttributes claimsOf(const MessageHead &head, const RelayFieldNames &names);
 
 // The request as a target gets it: without what concerns the caller's channel and what only the gateway may set, and with the gateway's own fields.
-std::string forwardedRequest(const CallerRequest &request, const RequestAdmission &admitted, const RelaySend &order, const RelayFieldNames &names);
+std::string forwardedRequest(const CallerRequest &request, const RequestAdmission &admitted, const RelayAttempt &order, const RelayFieldNames &names);
 
 // A target's answer as far as decisions depend on it.
-TargetAnswer targetAnswerOf(const MessageHead &head, std::optional<uint64_t> length, const RelayFieldNames &names);
+TargetResponse targetAnswerOf(const MessageHead &head, std::optional<uint64_t> length, const RelayFieldNames &names);
 
 // The head of a target's answer as the caller gets it, without what concerns the target's channel.
 MessageHead forwardedAnswer(const MessageHead &head);
--- a/Libraries/LibRelayServer/RelayTables.cpp
+++ b/Libraries/LibRelayServer/RelayTables.cpp
@@ -4,7 +4,7 @@
 #include <absl/strings/str_cat.h>
 #include <LibCore/AbslView.h>
 #include <LibCore/Json.h>
-#include <LibRelay/PeerNewsCodec.h>
+#include <LibRelay/PeerHeartbeatCodec.h>
 
 // What a relay knows of the document and of the targets: from the store, or from peers that have read it.
 namespace Jujube
@@ -68,7 +68,7 @@
                                                   TableFollower::Options {.table = dialect.documentTable,
                                                                           .wait = DocumentWait,
                                                                           .mayRead = [this](MonotonicTime now) { return mayRead(now); },
-                                                                          .liveRelays = [this] { return m_core.liveGateways(monotonicNow()); }},
+                                                                          .liveRelays = [this] { return m_core.liveRelays(monotonicNow()); }},
                                                   TableFollower::Hooks {.onTable = [this](const std::vector<StoreRow> &rows, bool) { onDocumentTable(rows); },
                                                                         .onChange = [this](const StoreRow &row, bool) { onDocumentRow(row); },
                                                                         .onLost = lost(dialect.documentTable),
@@ -80,7 +80,7 @@
         m_core.options.store,
         TableFollower::Options {.table = dialect.targetTable,
                                 .mayRead = [this](MonotonicTime now) { return mayRead(now); },
-                                .liveRelays = [this] { return m_core.liveGateways(monotonicNow()); }},
+                                .liveRelays = [this] { return m_core.liveRelays(monotonicNow()); }},
         TableFollower::Hooks {.onTable = [this](const std::vector<StoreRow> &rows, bool afterOutage) { onTargetTable(rows, afterOutage, monotonicNow()); },
                               .onChange = [this](const StoreRow &row, bool afterOutage) { onTargetRow(row, afterOutage, monotonicNow()); },
                               .onLost = lost(dialect.targetTable),
@@ -102,8 +102,8 @@
     if (matches(m_core.dialect.documentTable) && m_documents->hasRows()) {
         channel.send({.status = StatusOk}, encodeSnapshot(m_documents->snapshot()));
     } else if (target == TargetsPath && m_core.targets.size() > 0) {
-        const PeerNews news {.node = m_core.options.node, .targetsVersion = m_targets->version(), .targets = m_core.targets.allEntries()};
-        channel.send({.status = StatusOk}, encodePeerNews(news, MaxPeerAnswerBytes));
+        const PeerHeartbeat heartbeatMessage {.node = m_core.options.node, .targetsVersion = m_targets->version(), .targets = m_core.targets.allEntries()};
+        channel.send({.status = StatusOk}, encodePeerHeartbeat(heartbeatMessage, MaxPeerResponseBytes));
     } else {
         channel.send({.status = StatusNotFound}, {});
     }
@@ -116,13 +116,13 @@
         return;
     }
     const Peer *best = nullptr;
-    for (const auto *peer : m_core.peers.alive(now)) {
-        if (!best || peer->news.targetsVersion > best->news.targetsVersion) {
+    for (const auto *peer : m_core.peers.livePeers(now)) {
+        if (!best || peer->heartbeatMessage.targetsVersion > best->heartbeatMessage.targetsVersion) {
             best = peer;
         }
     }
-    if (best && best->news.targetsDigest != m_core.targets.digest()) {
-        askPeerForTargets(best->news);
+    if (best && best->heartbeatMessage.targetsDigest != m_core.targets.digest()) {
+        askPeerForTargets(best->heartbeatMessage);
     }
 }
 
@@ -143,26 +143,26 @@
     });
 }
 
-void Relay::onPeerDocument(const PeerNews &news)
+void Relay::onPeerDocument(const PeerHeartbeat &heartbeatMessage)
 {
-    if (news.documentTableVersion > m_documents->changeVersion()) {
-        askPeer(*m_documents, m_core.dialect.documentTable, news.peers);
+    if (heartbeatMessage.documentTableVersion > m_documents->changeVersion()) {
+        askPeer(*m_documents, m_core.dialect.documentTable, heartbeatMessage.peers);
     }
 }
 
-void Relay::onPeerTargets(const PeerNews &news, MonotonicTime now)
+void Relay::onPeerTargets(const PeerHeartbeat &heartbeatMessage, MonotonicTime now)
 {
-    for (const auto &entry : news.targets) {
+    for (const auto &entry : heartbeatMessage.targets) {
         takeTarget(entry, TargetTable::Source::Peer, now);
     }
-    if (news.targetsDigest == m_core.targets.digest()) {
+    if (heartbeatMessage.targetsDigest == m_core.targets.digest()) {
         m_differsSince.reset();
         if (m_targets->hasRows()) {
-            m_targets->noteCurrent(news.targetsVersion, news.targetsAge, now);
+            m_targets->noteCurrent(heartbeatMessage.targetsVersion, heartbeatMessage.targetsAge, now);
         }
         return;
     }
-    if (!news.reading || news.targetsVersion <= m_targets->version()) {
+    if (!heartbeatMessage.reading || heartbeatMessage.targetsVersion <= m_targets->version()) {
         return;
     }
     // Heartbeats repeat every change for a while; a difference that stays means that some were missed.
@@ -170,21 +170,21 @@
         m_differsSince = now;
     } else if (now - *m_differsSince >= DifferenceTime) {
         m_differsSince = now;
-        askPeerForTargets(news);
+        askPeerForTargets(heartbeatMessage);
     }
 }
 
-void Relay::askPeerForTargets(const PeerNews &news)
+void Relay::askPeerForTargets(const PeerHeartbeat &heartbeatMessage)
 {
-    const auto endpoint = Endpoint::parse(news.peers);
-    if (!endpoint || m_askingPeerForTargets || news.targetsVersion == 0) {
+    const auto endpoint = Endpoint::parse(heartbeatMessage.peers);
+    if (!endpoint || m_askingPeerForTargets || heartbeatMessage.targetsVersion == 0) {
         return;
     }
     m_askingPeerForTargets = true;
     const LoopCall call {.target = std::string(TargetsPath), .timeout = PeerReadTimeout, .freshConnection = true};
-    m_core.client.call(*endpoint, call, [this, node = news.node](const LoopAnswer &answer) {
+    m_core.client.call(*endpoint, call, [this, node = heartbeatMessage.node](const LoopAnswer &answer) {
         m_askingPeerForTargets = false;
-        const auto peer = answer.isSuccess() ? decodePeerNews(answer.body) : std::nullopt;
+        const auto peer = answer.isSuccess() ? decodePeerHeartbeat(answer.body) : std::nullopt;
         if (peer) {
             logStore(EventKind::TableReplaced, m_core.dialect.targetTable, absl::StrCat("from peer ", node, " as of ", peer->targetsVersion));
             takePeerTargets(peer->targets, peer->targetsVersion, monotonicNow());
@@ -205,18 +205,18 @@
 bool Relay::mayRead(MonotonicTime now)
 {
     std::vector<std::string> readers;
-    for (const auto *peer : m_core.peers.alive(now)) {
-        if (peer->news.trying) {
-            readers.push_back(peer->news.node);
+    for (const auto *peer : m_core.peers.livePeers(now)) {
+        if (peer->heartbeatMessage.trying) {
+            readers.push_back(peer->heartbeatMessage.node);
         }
     }
     const bool wasReading = m_readers.isReading();
-    const bool reads = m_readers.decide(readers, m_core.liveGateways(now), now, m_core.random());
+    const bool reads = m_readers.decide(readers, m_core.liveRelays(now), now, m_core.random());
     if (reads != wasReading) {
         auto line = m_core.line(EventKind::StoreReaderChanged);
         line.add("reads", reads ? 1 : 0).add("other_readers", static_cast<int64_t>(readers.size()));
         m_core.log(line);
-        m_peers.sendSoon(NewsAudience::All);
+        m_peers.sendSoon(NotificationScope::All);
     }
     return reads;
 }
@@ -284,7 +284,7 @@
         .add("workspaces", static_cast<int64_t>(document->workspaces.size()));
     m_core.log(line);
     m_core.routes = std::make_shared<const RouteTable>(*std::move(document));
-    m_peers.sendSoon(m_readers.isReading() ? NewsAudience::All : NewsAudience::Region);
+    m_peers.sendSoon(m_readers.isReading() ? NotificationScope::All : NotificationScope::Region);
 }
 
 std::optional<TargetEntry> Relay::decodeTarget(const StoreRow &row)
@@ -319,13 +319,13 @@
         if (const auto endpoint = Endpoint::parse(entry.address)) {
             m_core.channels.forget(*endpoint);
         }
-        m_core.balancer.reachable(entry.id);
-        m_core.balancer.quiet().forget(entry.id);
-        m_peers.sendSoon(audienceForTarget(fromPeer, false, false));
+        m_core.balancer.markReachable(entry.id);
+        m_core.balancer.cooldowns().forget(entry.id);
+        m_peers.sendSoon(notificationScopeForTarget(fromPeer, false, false));
     }
     if (m_core.targets.set(entry, now, source)) {
         m_core.announceLeaving(entry.id, sourceName, now);
-        m_peers.sendSoon(audienceForTarget(fromPeer, true, m_core.balancer.ownLoad(entry.id).movable > 0));
+        m_peers.sendSoon(notificationScopeForTarget(fromPeer, true, m_core.balancer.ownLoad(entry.id).movable > 0));
     }
 }
 
@@ -335,7 +335,7 @@
     for (const auto &row : rows) {
         listed.insert(row.key);
         if (const auto entry = decodeTarget(row)) {
-            takeTarget(*entry, TargetTable::Source::FirstHand, now);
+            takeTarget(*entry, TargetTable::Source::Direct, now);
         }
     }
     const auto missing = removeUnlisted(listed, afterOutage, m_targets->version(), "not listed", now);
@@ -363,12 +363,12 @@
     if (row.removed) {
         if (m_core.targets.remove(row.key, afterOutage, row.version, now)) {
             m_core.announceLeaving(row.key, "entry removed", now);
-            m_peers.sendSoon(NewsAudience::All);
+            m_peers.sendSoon(NotificationScope::All);
         }
         return;
     }
     if (const auto entry = decodeTarget(row)) {
-        takeTarget(*entry, TargetTable::Source::FirstHand, now);
+        takeTarget(*entry, TargetTable::Source::Direct, now);
     }
 }
 
--- a/Tests/LibRelay/SessionWorld.cpp
+++ b/Tests/LibRelay/SessionHarness.cpp
@@ -1,9 +1,9 @@
-#include "SessionWorld.h"
+#include "SessionHarness.h"
 
 namespace Jujube
 {
 
-SessionWorld::SessionWorld(RelayFacts facts)
+SessionHarness::SessionHarness(RequestProperties facts)
 {
     facts.id = "r";
     facts.deadline = m_now + std::chrono::seconds(30);
@@ -11,7 +11,7 @@
         facts,
         RelaySession::Hooks {.choose =
                                  [this](const std::set<std::string> &excluded, MonotonicTime) {
-                                     RelayChoice choice;
+                                     TargetChoice choice;
                                      if (targetsLeft > 0) {
                                          --targetsLeft;
                                          const auto id = "t" + std::to_string(sends.size() + excluded.size());
@@ -31,26 +31,26 @@
                                      return hasDestination ? std::optional(RelayTarget {.id = "d", .incarnation = 1, .address = "d:1"}) : std::nullopt;
                                  },
                              .mayContinue = [this](const RelayTarget &target, MonotonicTime) { return !refusesContinuation.contains(target.id); },
-                             .takeRetry = [this](MonotonicTime) { return retriesLeft-- > 0; },
-                             .send = [this](const RelaySend &send) { sends.push_back(send); },
-                             .abortSend = [this] { ++aborts; },
+                             .tryTakeRetry = [this](MonotonicTime) { return retriesLeft-- > 0; },
+                             .send = [this](const RelayAttempt &send) { sends.push_back(send); },
+                             .abortAttempt = [this] { ++aborts; },
                              .copy = [this](const RelayTarget &, const RelayTarget &, bool stop) { copies.push_back(stop); },
-                             .beginAnswer = [this](std::optional<uint64_t>) { ++begun; },
+                             .beginResponse = [this](std::optional<uint64_t>) { ++begun; },
                              .write = [this](std::string_view bytes) { received += bytes; },
-                             .finishAnswer = [this] { ++finished; },
+                             .finishResponse = [this] { ++finished; },
                              .answer = [this](RelayOutcome outcome, std::chrono::milliseconds) { answers.push_back(outcome); },
                              .cut = [this](RelayOutcome) { ++cuts; },
-                             .note = [](std::string_view, std::string_view) {}});
+                             .record = [](std::string_view, std::string_view) {}});
 }
 
-void SessionWorld::startStream(std::string_view bytes)
+void SessionHarness::startStream(std::string_view bytes)
 {
     m_session->start(m_now);
     m_session->onHead(streamHead(), m_now);
     m_session->onBody(bytes, m_now);
 }
 
-std::string SessionWorld::events(int first, int last)
+std::string SessionHarness::events(int first, int last)
 {
     std::string text;
     for (int id = first; id <= last; ++id) {
@@ -59,7 +59,7 @@
     return text;
 }
 
-std::vector<int> SessionWorld::receivedIds() const
+std::vector<int> SessionHarness::receivedIds() const
 {
     std::vector<int> ids;
     for (size_t position = received.find("id: "); position != std::string::npos; position = received.find("id: ", position + 1)) {
--- a/Tests/LibRelay/SessionWorld.h
+++ b/Tests/LibRelay/SessionHarness.h
@@ -9,10 +9,10 @@
 {
 
 // Plays the caller, the targets and the policy around one RelaySession, and records what they see.
-class SessionWorld
+class SessionHarness
 {
 public:
-    explicit SessionWorld(RelayFacts facts);
+    explicit SessionHarness(RequestProperties facts);
 
     RelaySession &session()
     {
@@ -38,12 +38,12 @@
     std::vector<int> receivedIds() const;
 
     // A head of a target's own answer.
-    static TargetAnswer streamHead()
+    static TargetResponse streamHead()
     {
         return {.status = 200, .sealed = true, .isStream = true};
     }
 
-    std::vector<RelaySend> sends;
+    std::vector<RelayAttempt> sends;
     std::vector<RelayOutcome> answers;
     std::vector<bool> copies;
     std::string received;
--- a/Tests/LibRelay/TestBudgetsAndMoves.cpp
+++ b/Tests/LibRelay/TestBudgetsAndMigrations.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 #include <LibRelay/DrainAdmission.h>
-#include <LibRelay/MoveSchedule.h>
+#include <LibRelay/MigrationSchedule.h>
 #include <LibRelay/ServiceRetryBudget.h>
 #include <random>
 
@@ -26,7 +26,7 @@
         std::vector<MonotonicTime> retries;
         for (auto now = Start; now < Start + 40s; now += 25ms) {
             auto &budget = budgets[random() % budgets.size()];
-            budget.noteRequest(now);
+            budget.recordRequest(now);
             requests.push_back(now);
             for (int attempt = 0; attempt < 3; ++attempt) {
                 if (budget.tryRetry(std::max(1, gateways - 1), now)) {
@@ -51,10 +51,10 @@
 }
 
 // Load pattern: an engine with several drafts leaves within two seconds. Guards against copies that queue behind each other on its link.
-TEST(MoveSchedule, OneGenerationAtATimeTheMostValuableFirst)
+TEST(MigrationSchedule, OneGenerationAtATimeTheMostValuableFirst)
 {
-    MoveSchedule schedule;
-    schedule.targetLeaves("t", 0ms, Start);
+    MigrationSchedule schedule;
+    schedule.addLeavingTarget("t", 0ms, Start);
     schedule.add("t", "small", 1);
     schedule.add("t", "large", 9);
     schedule.add("t", "medium", 5);
@@ -69,22 +69,22 @@
 }
 
 // Guards against gateways that order their copies at the same moment.
-TEST(MoveSchedule, WaitsForTheGatewaysBefore)
+TEST(MigrationSchedule, WaitsForTheGatewaysBefore)
 {
-    MoveSchedule schedule;
-    schedule.targetLeaves("t", 300ms, Start);
+    MigrationSchedule schedule;
+    schedule.addLeavingTarget("t", 300ms, Start);
     schedule.add("t", "a", 1);
     EXPECT_TRUE(schedule.takeDue(Start + 299ms).empty());
-    EXPECT_EQ(schedule.nextTime(), Start + 300ms);
+    EXPECT_EQ(schedule.nextDueTime(), Start + 300ms);
     EXPECT_EQ(schedule.takeDue(Start + 300ms).size(), 1U);
 }
 
 // Guards against engines that wait for each other although their links are separate.
-TEST(MoveSchedule, EnginesDoNotWaitForEachOther)
+TEST(MigrationSchedule, EnginesDoNotWaitForEachOther)
 {
-    MoveSchedule schedule;
-    schedule.targetLeaves("t", 0ms, Start);
-    schedule.targetLeaves("u", 0ms, Start);
+    MigrationSchedule schedule;
+    schedule.addLeavingTarget("t", 0ms, Start);
+    schedule.addLeavingTarget("u", 0ms, Start);
     schedule.add("t", "a", 1);
     schedule.add("u", "b", 1);
     EXPECT_EQ(schedule.takeDue(Start).size(), 2U);
--- a/Tests/LibRelay/TestEventSplitter.cpp
+++ b/Tests/LibRelay/TestEventSplitter.cpp
@@ -1,4 +1,4 @@
-#include "SessionWorld.h"
+#include "SessionHarness.h"
 
 #include <gtest/gtest.h>
 #include <LibRelay/EventSplitter.h>
@@ -8,7 +8,7 @@
 // Guards against events that are passed on in part, or differ with the packets they came in.
 TEST(EventSplitter, PassesOnWholeEventsWhateverTheCuts)
 {
-    const auto text = "event: a\n" + SessionWorld::events(1, 3) + "id: 4\r\ndata: x\r\n\r\n";
+    const auto text = "event: a\n" + SessionHarness::events(1, 3) + "id: 4\r\ndata: x\r\n\r\n";
     for (unsigned seed = 0; seed < 10000; ++seed) {
         std::mt19937 random(seed);
         EventSplitter splitter;
@@ -30,7 +30,7 @@
 {
     EventSplitter splitter;
     EXPECT_EQ(splitter.feed("id: 1\n\nid: 2\nda"), "id: 1\n\n");
-    splitter.restart();
+    splitter.discardPartialEvent();
     EXPECT_EQ(splitter.feed("id: 2\n\n"), "id: 2\n\n");
     EXPECT_FALSE(splitter.isOutOfOrder());
 }
--- a/Tests/LibRelay/TestPeers.cpp
+++ b/Tests/LibRelay/TestPeers.cpp
@@ -1,9 +1,9 @@
 #include <gtest/gtest.h>
-#include <LibRelay/NewsAudience.h>
-#include <LibRelay/PeerNewsCodec.h>
+#include <LibRelay/NotificationScope.h>
+#include <LibRelay/PeerHeartbeatCodec.h>
 #include <LibRelay/PeerTable.h>
-#include <LibRelay/ReaderElection.h>
 #include <LibRelay/RegionLoads.h>
+#include <LibRelay/StoreReaderElection.h>
 #include <random>
 
 using namespace Jujube;
@@ -14,7 +14,7 @@
 
 constexpr MonotonicTime Start {std::chrono::hours(1)};
 
-PeerNews news(const std::string &node, int64_t sequence, int64_t incarnation = 1)
+PeerHeartbeat heartbeatMessage(const std::string &node, int64_t sequence, int64_t incarnation = 1)
 {
     return {.node = node, .incarnation = incarnation, .sequence = sequence, .callers = node + ":80", .peers = node + ":81", .accepting = true};
 }
@@ -25,9 +25,9 @@
 TEST(PeerTable, SilentRelayIsNotAlive)
 {
     PeerTable peers({.ownAddress = "me:81", .silenceTimeout = 1600ms}, Start);
-    EXPECT_EQ(peers.hear(news("a", 1), Start), PeerTable::Change::Joined);
-    EXPECT_EQ(peers.liveCount(Start + 1500ms), 2);
-    EXPECT_EQ(peers.liveCount(Start + 1600ms), 1);
+    EXPECT_EQ(peers.handleHeartbeat(heartbeatMessage("a", 1), Start), PeerTable::Change::Joined);
+    EXPECT_EQ(peers.liveRelayCount(Start + 1500ms), 2);
+    EXPECT_EQ(peers.liveRelayCount(Start + 1600ms), 1);
     EXPECT_EQ(peers.expire(Start + 1600ms), std::vector<std::string> {"a"});
     EXPECT_TRUE(peers.expire(Start + 1700ms).empty());
 }
@@ -36,24 +36,24 @@
 TEST(PeerTable, OlderHeartbeatsAreIgnored)
 {
     PeerTable peers({.ownAddress = "me:81"}, Start);
-    peers.hear(news("a", 5, 2), Start);
-    EXPECT_EQ(peers.hear(news("a", 4, 2), Start), PeerTable::Change::Stale);
-    EXPECT_EQ(peers.hear(news("a", 9, 1), Start), PeerTable::Change::Stale);
-    EXPECT_EQ(peers.hear(news("a", 1, 3), Start), PeerTable::Change::None);
+    peers.handleHeartbeat(heartbeatMessage("a", 5, 2), Start);
+    EXPECT_EQ(peers.handleHeartbeat(heartbeatMessage("a", 4, 2), Start), PeerTable::Change::Stale);
+    EXPECT_EQ(peers.handleHeartbeat(heartbeatMessage("a", 9, 1), Start), PeerTable::Change::Stale);
+    EXPECT_EQ(peers.handleHeartbeat(heartbeatMessage("a", 1, 3), Start), PeerTable::Change::None);
 }
 
 // Guards against relays that never meet because a seed was down, and against heartbeats to dead addresses at the full pace.
 TEST(PeerTable, AddressesSpreadAndDeadOnesAreProbedSeldom)
 {
-    PeerTable peers({.ownAddress = "me:81", .probePause = 2000ms}, Start);
+    PeerTable peers({.ownAddress = "me:81", .probeInterval = 2000ms}, Start);
     peers.addAddress("seed:81", Start);
-    auto first = news("a", 1);
+    auto first = heartbeatMessage("a", 1);
     first.known = {"b:81", "me:81"};
-    peers.hear(first, Start);
-    auto recipients = peers.recipients(PeerTable::Reach::Elsewhere, Start);
+    peers.handleHeartbeat(first, Start);
+    auto recipients = peers.recipients(PeerTable::RecipientScope::OutsideRegion, Start);
     std::sort(recipients.begin(), recipients.end());
     EXPECT_EQ(recipients, (std::vector<std::string> {"a:81", "b:81", "seed:81"}));
-    EXPECT_EQ(peers.recipients(PeerTable::Reach::Elsewhere, Start + 200ms), std::vector<std::string> {"a:81"});
+    EXPECT_EQ(peers.recipients(PeerTable::RecipientScope::OutsideRegion, Start + 200ms), std::vector<std::string> {"a:81"});
 }
 
 // Guards against large fleets in which most relays never hear of each other, because heartbeats name the same few addresses again and again.
@@ -74,24 +74,24 @@
     for (int round = 0; round < 20; ++round, now += 400ms) {
         ++sequence;
         for (int sender = 0; sender < Relays; ++sender) {
-            auto heartbeat = news("n" + std::to_string(sender), sequence);
+            auto heartbeat = heartbeatMessage("n" + std::to_string(sender), sequence);
             heartbeat.peers = address(sender);
             heartbeat.known = tables[static_cast<size_t>(sender)].knownAddresses(2, now, random());
-            for (const auto &recipient : tables[static_cast<size_t>(sender)].recipients(PeerTable::Reach::Elsewhere, now)) {
+            for (const auto &recipient : tables[static_cast<size_t>(sender)].recipients(PeerTable::RecipientScope::OutsideRegion, now)) {
                 const auto index = static_cast<size_t>(std::stoi(recipient.substr(1)));
-                tables[index].hear(heartbeat, now);
+                tables[index].handleHeartbeat(heartbeat, now);
             }
         }
     }
     for (const auto &table : tables) {
-        EXPECT_EQ(table.liveCount(now - 400ms), Relays);
+        EXPECT_EQ(table.liveRelayCount(now - 400ms), Relays);
     }
 }
 
 // Guards against news that differ after their way over the network.
-TEST(PeerNewsCodec, RoundTrip)
+TEST(PeerHeartbeatCodec, RoundTrip)
 {
-    auto sent = news("a", 7);
+    auto sent = heartbeatMessage("a", 7);
     sent.documentTableVersion = 90;
     sent.targetsDigest = 0xfedcba9876543210ULL;
     sent.targetsVersion = 91;
@@ -99,7 +99,7 @@
     sent.loads = {{.target = "t", .running = 3, .memory = 9000, .prefill = 3000, .movable = 6000}};
     sent.targets = {{.id = "t", .incarnation = 5, .service = "s", .address = "x:1", .dataCentre = "d", .slots = 4, .leaving = true, .version = 8}};
     sent.crashes = {{.target = "t", .incarnation = 5, .age = 30ms, .members = {1, 2}, .running = 2}};
-    const auto received = decodePeerNews(encodePeerNews(sent));
+    const auto received = decodePeerHeartbeat(encodePeerHeartbeat(sent));
     ASSERT_TRUE(received);
     EXPECT_EQ(received->documentTableVersion, 90);
     EXPECT_EQ(received->targetsDigest, sent.targetsDigest);
@@ -114,16 +114,16 @@
 }
 
 // Guards against datagrams that do not fit a packet, and against leaving targets being dropped before loads.
-TEST(PeerNewsCodec, FitsADatagram)
+TEST(PeerHeartbeatCodec, FitsADatagram)
 {
-    auto large = news("a", 1);
+    auto large = heartbeatMessage("a", 1);
     large.targets = {{.id = "leaving", .leaving = true}};
     for (int index = 0; index < 300; ++index) {
         large.loads.push_back({.target = "target-" + std::to_string(index), .running = index});
     }
-    const auto datagram = encodePeerNews(large);
+    const auto datagram = encodePeerHeartbeat(large);
     EXPECT_LE(datagram.size(), MaxPeerDatagramBytes);
-    const auto received = decodePeerNews(datagram);
+    const auto received = decodePeerHeartbeat(datagram);
     ASSERT_TRUE(received);
     EXPECT_EQ(received->targets.size(), 1U);
     ASSERT_FALSE(received->loads.empty());
@@ -131,22 +131,22 @@
 }
 
 // Guards against heartbeats that leave out more than they have to, of a list that matters more than another.
-TEST(PeerNewsCodec, LeavesOutAsLittleAsPossible)
+TEST(PeerHeartbeatCodec, LeavesOutAsLittleAsPossible)
 {
-    auto large = news("a", 1);
+    auto large = heartbeatMessage("a", 1);
     large.known = {"b:81", "c:81"};
     for (int index = 0; index < 40; ++index) {
         large.loads.push_back({.target = "target-" + std::to_string(index), .running = 40 - index});
         large.targets.push_back({.id = "new-" + std::to_string(index), .service = "s", .address = "10.0.0.1:80"});
     }
     for (size_t bytes = 200; bytes < 4000; bytes += 50) {
-        const auto received = decodePeerNews(encodePeerNews(large, bytes));
+        const auto received = decodePeerHeartbeat(encodePeerHeartbeat(large, bytes));
         ASSERT_TRUE(received);
         auto next = large;
         next.known = received->known;
         next.loads.resize(received->loads.size());
         next.targets.resize(received->targets.size());
-        EXPECT_LE(encodePeerNews(next, 100000).size(), bytes);
+        EXPECT_LE(encodePeerHeartbeat(next, 100000).size(), bytes);
         if (received->targets.size() < large.targets.size()) {
             EXPECT_TRUE(received->loads.empty());
             next.targets.push_back(large.targets[next.targets.size()]);
@@ -156,24 +156,24 @@
         } else {
             continue;
         }
-        EXPECT_GT(encodePeerNews(next, 100000).size(), bytes);
+        EXPECT_GT(encodePeerHeartbeat(next, 100000).size(), bytes);
     }
 }
 
 // Guards against damaged datagrams that crash a relay or allocate without bound.
-TEST(PeerNewsCodec, DamagedDatagramsAreRefusedOrRead)
+TEST(PeerHeartbeatCodec, DamagedDatagramsAreRefusedOrRead)
 {
-    const auto datagram = encodePeerNews(news("a", 1));
+    const auto datagram = encodePeerHeartbeat(heartbeatMessage("a", 1));
     for (unsigned seed = 0; seed < 10000; ++seed) {
         std::mt19937 random(seed);
         auto damaged = datagram.substr(0, 1 + random() % datagram.size());
         for (int count = 0; count < 3; ++count) {
             damaged[random() % damaged.size()] = static_cast<char>(random());
         }
-        decodePeerNews(damaged);
+        decodePeerHeartbeat(damaged);
     }
-    EXPECT_FALSE(decodePeerNews(""));
-    EXPECT_FALSE(decodePeerNews("R2abc"));
+    EXPECT_FALSE(decodePeerHeartbeat(""));
+    EXPECT_FALSE(decodePeerHeartbeat("R2abc"));
 }
 
 namespace
@@ -185,7 +185,7 @@
     {
         for (int index = 0; index < size; ++index) {
             names.push_back("n" + std::to_string(100 + index));
-            elections.emplace_back(ReaderElection::Options {.node = names.back()});
+            elections.emplace_back(StoreReaderElection::Options {.node = names.back()});
         }
         reading.assign(names.size(), false);
         side.assign(names.size(), 0);
@@ -212,7 +212,7 @@
         }
     }
 
-    int readersOn(int which) const
+    int readerCountOn(int which) const
     {
         int count = 0;
         for (size_t index = 0; index < names.size(); ++index) {
@@ -222,7 +222,7 @@
     }
 
     std::vector<std::string> names;
-    std::vector<ReaderElection> elections;
+    std::vector<StoreReaderElection> elections;
     std::vector<bool> reading;
     std::vector<int> side;
     std::vector<bool> dead;
@@ -233,17 +233,17 @@
 } // namespace
 
 // Guards against a store that every relay reads, or none.
-TEST(ReaderElection, FewRelaysRead)
+TEST(StoreReaderElection, FewRelaysRead)
 {
     for (const int size : {1, 2, 3, 7, 77}) {
         Fleet fleet(size);
         fleet.run(5s);
-        EXPECT_EQ(fleet.readersOn(0), std::min(2, size)) << size;
+        EXPECT_EQ(fleet.readerCountOn(0), std::min(2, size)) << size;
     }
 }
 
 // Guards against relays that learn nothing any more after the readers have died or were cut off.
-TEST(ReaderElection, OthersTakeOver)
+TEST(StoreReaderElection, OthersTakeOver)
 {
     Fleet fleet(7);
     fleet.run(3s);
@@ -251,15 +251,15 @@
         fleet.dead[index] = fleet.reading[index];
     }
     fleet.run(3s);
-    EXPECT_EQ(fleet.readersOn(0), 2);
+    EXPECT_EQ(fleet.readerCountOn(0), 2);
     for (size_t index = 0; index < fleet.names.size(); ++index) {
         fleet.side[index] = fleet.reading[index] ? 0 : 1;
     }
     fleet.run(3s);
-    EXPECT_EQ(fleet.readersOn(1), 2);
+    EXPECT_EQ(fleet.readerCountOn(1), 2);
     fleet.side.assign(fleet.names.size(), 0);
     fleet.run(3s);
-    EXPECT_EQ(fleet.readersOn(0), 2);
+    EXPECT_EQ(fleet.readerCountOn(0), 2);
 }
 
 // Guards against heartbeats that go to the wrong half of the fleet: both together reach every live relay once.
@@ -267,30 +267,30 @@
 {
     PeerTable peers({.ownAddress = "me:81", .region = "punjab", .regions = {{"lahore", "punjab"}, {"karachi", "sindh"}}}, Start);
     for (const auto &[node, dataCentre] : {std::pair("near", "lahore"), std::pair("far", "karachi")}) {
-        auto heartbeat = news(node, 1);
+        auto heartbeat = heartbeatMessage(node, 1);
         heartbeat.dataCentre = dataCentre;
-        peers.hear(heartbeat, Start);
+        peers.handleHeartbeat(heartbeat, Start);
     }
-    EXPECT_EQ(peers.recipients(PeerTable::Reach::Region, Start), std::vector<std::string> {"near:81"});
-    EXPECT_EQ(peers.recipients(PeerTable::Reach::Elsewhere, Start), std::vector<std::string> {"far:81"});
-    ASSERT_EQ(peers.aliveInRegion(Start).size(), 1U);
-    EXPECT_EQ(peers.aliveInRegion(Start)[0]->news.node, "near");
+    EXPECT_EQ(peers.recipients(PeerTable::RecipientScope::Region, Start), std::vector<std::string> {"near:81"});
+    EXPECT_EQ(peers.recipients(PeerTable::RecipientScope::OutsideRegion, Start), std::vector<std::string> {"far:81"});
+    ASSERT_EQ(peers.livePeersInRegion(Start).size(), 1U);
+    EXPECT_EQ(peers.livePeersInRegion(Start)[0]->heartbeatMessage.node, "near");
 }
 
 // Guards against a region that nobody speaks for once its speaker is gone, or two do: the first by name of the live relays of the region does.
 TEST(PeerTable, OneRelaySpeaksForItsRegion)
 {
     PeerTable peers({.ownAddress = "me:81", .region = "punjab", .regions = {{"lahore", "punjab"}, {"karachi", "sindh"}}, .silenceTimeout = 1600ms}, Start);
-    EXPECT_TRUE(peers.speaksForRegion("me", Start));
-    auto far = news("a", 1);
+    EXPECT_TRUE(peers.isRegionRepresentative("me", Start));
+    auto far = heartbeatMessage("a", 1);
     far.dataCentre = "karachi";
-    peers.hear(far, Start);
-    EXPECT_TRUE(peers.speaksForRegion("me", Start));
-    auto near = news("b", 1);
+    peers.handleHeartbeat(far, Start);
+    EXPECT_TRUE(peers.isRegionRepresentative("me", Start));
+    auto near = heartbeatMessage("b", 1);
     near.dataCentre = "lahore";
-    peers.hear(near, Start);
-    EXPECT_FALSE(peers.speaksForRegion("me", Start));
-    EXPECT_TRUE(peers.speaksForRegion("me", Start + 1600ms));
+    peers.handleHeartbeat(near, Start);
+    EXPECT_FALSE(peers.isRegionRepresentative("me", Start));
+    EXPECT_TRUE(peers.isRegionRepresentative("me", Start + 1600ms));
 }
 
 // Guards against heartbeats between regions that outweigh the answers: 30 relays, each with a part of the load of 16 targets and a draft on one of them.
@@ -317,37 +317,37 @@
     }
     // What all relays of the region tell another one in a round, against whole heartbeats.
     const auto bytes = [&](const std::vector<TargetLoad> &loads) {
-        auto heartbeat = news("edge-lahore-a-1", 1);
+        auto heartbeat = heartbeatMessage("edge-lahore-a-1", 1);
         heartbeat.loads = loads;
-        return encodePeerNews(heartbeat).size();
+        return encodePeerHeartbeat(heartbeat).size();
     };
     EXPECT_LT(bytes(quiet) * (Relays - 1) + bytes(spoken), bytes(own) * Relays / 3);
 }
 
 // Guards against relays that repeat to all others at once what they have all been told: with 30 relays in a region and 20 new targets that was 18,000
 // heartbeats.
-TEST(NewsAudience, WhatPeersToldIsNotRepeatedAtOnce)
+TEST(NotificationScope, WhatPeersToldIsNotRepeatedAtOnce)
 {
-    EXPECT_EQ(audienceForTarget(true, false, false), NewsAudience::None);
-    EXPECT_EQ(audienceForTarget(true, true, false), NewsAudience::None);
-    EXPECT_EQ(audienceForTarget(false, false, false), NewsAudience::All);
+    EXPECT_EQ(notificationScopeForTarget(true, false, false), NotificationScope::None);
+    EXPECT_EQ(notificationScopeForTarget(true, true, false), NotificationScope::None);
+    EXPECT_EQ(notificationScopeForTarget(false, false, false), NotificationScope::All);
     // Others wait for this relay's turn to copy.
-    EXPECT_EQ(audienceForTarget(true, true, true), NewsAudience::All);
+    EXPECT_EQ(notificationScopeForTarget(true, true, true), NotificationScope::All);
 }
 
 // Guards against a relay that is cut off from the others and takes their shares of cold targets as its own.
 TEST(PeerTable, SilentRelaysKeepTheirShareOfColdTargets)
 {
-    PeerTable peers({.ownAddress = "me:81", .ownNode = "me"}, Start);
-    EXPECT_FALSE(peers.coldSharers(Start).isSettled);
-    peers.hear(news("a", 1), Start);
-    peers.hear(news("b", 1), Start);
+    PeerTable peers({.ownAddress = "me:81", .ownName = "me"}, Start);
+    EXPECT_FALSE(peers.coldRateParticipants(Start).hasDiscoveredPeers);
+    peers.handleHeartbeat(heartbeatMessage("a", 1), Start);
+    peers.handleHeartbeat(heartbeatMessage("b", 1), Start);
     peers.expire(Start + 10s);
-    EXPECT_EQ(peers.liveCount(Start + 10s), 1);
-    EXPECT_EQ(peers.coldSharers(Start + 10s).others.size(), 2U);
-    EXPECT_TRUE(peers.coldSharers(Start + 10s).isSettled);
+    EXPECT_EQ(peers.liveRelayCount(Start + 10s), 1);
+    EXPECT_EQ(peers.coldRateParticipants(Start + 10s).others.size(), 2U);
+    EXPECT_TRUE(peers.coldRateParticipants(Start + 10s).hasDiscoveredPeers);
     peers.expire(Start + 40s);
-    EXPECT_TRUE(peers.coldSharers(Start + 40s).others.empty());
+    EXPECT_TRUE(peers.coldRateParticipants(Start + 40s).others.empty());
 }
 
 // Load pattern: 195 relays, whose heartbeats to other regions are far apart. Guards against relays that count as dead between two of them, and against relays
@@ -355,34 +355,34 @@
 TEST(PeerTable, AnnouncedPausesCountForSilence)
 {
     PeerTable peers({.ownAddress = "me:81", .silenceTimeout = 2500ms}, Start);
-    auto seldom = news("seldom", 1);
-    seldom.beatPause = 2400ms;
-    auto never = news("never", 1);
-    never.beatPause = 100s;
-    peers.hear(seldom, Start);
-    peers.hear(never, Start);
-    peers.hear(news("often", 1), Start);
+    auto seldom = heartbeatMessage("seldom", 1);
+    seldom.heartbeatInterval = 2400ms;
+    auto never = heartbeatMessage("never", 1);
+    never.heartbeatInterval = 100s;
+    peers.handleHeartbeat(seldom, Start);
+    peers.handleHeartbeat(never, Start);
+    peers.handleHeartbeat(heartbeatMessage("often", 1), Start);
     EXPECT_EQ(peers.expire(Start + 2600ms), std::vector<std::string> {"often"});
-    EXPECT_EQ(peers.alive(Start + 5900ms).size(), 2U);
-    EXPECT_EQ(peers.alive(Start + 6100ms).size(), 0U);
+    EXPECT_EQ(peers.livePeers(Start + 5900ms).size(), 2U);
+    EXPECT_EQ(peers.livePeers(Start + 6100ms).size(), 0U);
 }
 
 // Guards against short messages that replace what a relay is known for, or bring a dead one back.
 TEST(PeerTable, MessagesWithLoadsOnlyChangeNothingElse)
 {
     PeerTable peers({.ownAddress = "me:81"}, Start);
-    const PeerNews loads {.node = "a", .incarnation = 1, .sequence = 2, .peers = "a:81", .onlyLoads = true};
-    EXPECT_EQ(peers.hear(loads, Start), PeerTable::Change::Stale);
-    peers.hear(news("a", 1), Start);
-    EXPECT_EQ(peers.hear(loads, Start + 1s), PeerTable::Change::None);
-    ASSERT_EQ(peers.alive(Start + 3s).size(), 1U);
-    EXPECT_FALSE(peers.alive(Start + 3s)[0]->news.callers.empty());
-    EXPECT_EQ(peers.hear(news("a", 1), Start + 1s), PeerTable::Change::Stale);
+    const PeerHeartbeat loads {.node = "a", .incarnation = 1, .sequence = 2, .peers = "a:81", .onlyLoads = true};
+    EXPECT_EQ(peers.handleHeartbeat(loads, Start), PeerTable::Change::Stale);
+    peers.handleHeartbeat(heartbeatMessage("a", 1), Start);
+    EXPECT_EQ(peers.handleHeartbeat(loads, Start + 1s), PeerTable::Change::None);
+    ASSERT_EQ(peers.livePeers(Start + 3s).size(), 1U);
+    EXPECT_FALSE(peers.livePeers(Start + 3s)[0]->heartbeatMessage.callers.empty());
+    EXPECT_EQ(peers.handleHeartbeat(heartbeatMessage("a", 1), Start + 1s), PeerTable::Change::Stale);
     peers.expire(Start + 10s);
     auto late = loads;
     late.sequence = 3;
-    peers.hear(late, Start + 10s);
-    EXPECT_TRUE(peers.alive(Start + 10s).empty());
+    peers.handleHeartbeat(late, Start + 10s);
+    EXPECT_TRUE(peers.livePeers(Start + 10s).empty());
 }
 
 // Load pattern: a sixth of the engines leaves every three seconds, and others come. Guards against each of some hundred relays repeating in each heartbeat what
@@ -398,6 +398,6 @@
     EXPECT_TRUE(targets.set(entry, Start, TargetTable::Source::Peer));
     EXPECT_TRUE(targets.recentChanges(1s, Start).empty());
     EXPECT_FALSE(targets.isUsable(*targets.find("t"), Start));
-    EXPECT_FALSE(targets.noteLeaving("t", 1, Start + 2s));
+    EXPECT_FALSE(targets.recordLeaving("t", 1, Start + 2s));
     EXPECT_EQ(targets.recentChanges(1s, Start + 2s).size(), 1U);
 }
