--- a/Tests/LibRelay/TestRelayAdmission.cpp
+++ b/Tests/LibRelay/TestRelayAdmission.cpp
@@ -8,8 +8,8 @@
 {
 
 constexpr MonotonicTime Start {std::chrono::hours(1)};
-constexpr RequestClaims Claims {
-    .id = "r", .host = "h", .path = "/draft/x", .key = "k", .timeLeft = 9000ms, .promptTokens = 3000, .mostTokens = 2000, .lengthHint = 900};
+constexpr RequestAttributes DefaultAttributes {
+    .id = "r", .host = "h", .path = "/draft/x", .key = "k", .timeLeft = 9000ms, .promptTokens = 3000, .maxTokens = 2000, .lengthHint = 900};
 
 RelayDocument document()
 {
@@ -17,31 +17,31 @@
             .routes = {{.name = "draft",
                         .host = "h",
                         .prefix = "/draft/",
-                        .kind = RelayKind::Stream,
+                        .kind = RouteKind::Stream,
                         .timeout = 8000ms,
                         .priority = 3,
                         .shares = {{.service = "engine"}},
                         .homeRegions = {"sindh", "punjab"}},
-                       {.name = "hint", .host = "h", .prefix = "/hint/", .kind = RelayKind::Stream, .resumable = true, .shares = {{.service = "engine"}}},
+                       {.name = "hint", .host = "h", .prefix = "/hint/", .kind = RouteKind::Stream, .resumable = true, .shares = {{.service = "engine"}}},
                        {.name = "open", .host = "h", .prefix = "/open/", .shares = {{.service = "desk"}}, .isPublic = true},
                        {.name = "gone", .host = "h", .prefix = "/gone/", .shares = {{.service = "nowhere"}}}},
-            .services = {{.name = "engine", .engine = EngineProfile {.canMove = true}}, {.name = "desk"}},
+            .services = {{.name = "engine", .engine = EngineProfile {.canMigrate = true}}, {.name = "desk"}},
             .workspaces = {{.name = "w", .keys = {"k", ""}, .priority = 1, .homeRegions = {"punjab"}}},
             .requiresKeys = true};
 }
 
-RequestAdmission admit(const RequestClaims &claims)
+RequestAdmission admit(const RequestAttributes &attributes)
 {
     static const RouteTable routes(document());
-    return admitRequest(&routes, claims, 0.5, Start);
+    return admitRequest(&routes, attributes, 0.5, Start);
 }
 
-RequestClaims claimsWith(std::string_view path, std::string_view key = "k")
+RequestAttributes attributesWith(std::string_view path, std::string_view key = "k")
 {
-    auto claims = Claims;
-    claims.path = path;
-    claims.key = key;
-    return claims;
+    auto attributes = DefaultAttributes;
+    attributes.path = path;
+    attributes.key = key;
+    return attributes;
 }
 
 } // namespace
@@ -49,34 +49,34 @@
 // Guards against a refusal for another reason than the true one, above all 404 and 401 from a node that knows no document yet.
 TEST(RelayAdmission, RefusesForTheTrueReason)
 {
-    EXPECT_EQ(admitRequest(nullptr, Claims, 0.5, Start).refusal, RelayOutcome::NoDocument);
-    EXPECT_EQ(admit(claimsWith("/other/x")).refusal, RelayOutcome::NoRoute);
-    EXPECT_EQ(admit(claimsWith("draft/x")).refusal, RelayOutcome::Malformed);
-    EXPECT_EQ(admit(claimsWith("/draft/x", "wrong")).refusal, RelayOutcome::UnknownKey);
-    EXPECT_EQ(admit(claimsWith("/gone/x")).refusal, RelayOutcome::NoTarget);
-    auto withoutId = Claims;
+    EXPECT_EQ(admitRequest(nullptr, DefaultAttributes, 0.5, Start).rejection, RelayOutcome::NoDocument);
+    EXPECT_EQ(admit(attributesWith("/other/x")).rejection, RelayOutcome::NoRoute);
+    EXPECT_EQ(admit(attributesWith("draft/x")).rejection, RelayOutcome::Malformed);
+    EXPECT_EQ(admit(attributesWith("/draft/x", "wrong")).rejection, RelayOutcome::UnknownKey);
+    EXPECT_EQ(admit(attributesWith("/gone/x")).rejection, RelayOutcome::NoTarget);
+    auto withoutId = DefaultAttributes;
     withoutId.id = {};
-    EXPECT_EQ(admit(withoutId).refusal, RelayOutcome::Malformed);
+    EXPECT_EQ(admit(withoutId).rejection, RelayOutcome::Malformed);
 }
 
 // Guards against callers without a key who pass as the workspace that an empty key was written for.
 TEST(RelayAdmission, EmptyKeyOpensNothing)
 {
-    EXPECT_EQ(admit(claimsWith("/draft/x", "")).refusal, RelayOutcome::UnknownKey);
-    const auto open = admit(claimsWith("/open/x", ""));
-    EXPECT_FALSE(open.refusal);
+    EXPECT_EQ(admit(attributesWith("/draft/x", "")).rejection, RelayOutcome::UnknownKey);
+    const auto open = admit(attributesWith("/open/x", ""));
+    EXPECT_FALSE(open.rejection);
     EXPECT_EQ(open.workspace, nullptr);
 }
 
 // Guards against deadlines beyond the caller's or the route's, and against homes and priorities of which one does not bind.
 TEST(RelayAdmission, DocumentAndCallerBothBind)
 {
-    const auto draft = admit(Claims);
-    ASSERT_FALSE(draft.refusal);
+    const auto draft = admit(DefaultAttributes);
+    ASSERT_FALSE(draft.rejection);
     EXPECT_EQ(draft.deadline, Start + 8000ms);
     EXPECT_EQ(draft.demand.priority, 1);
     EXPECT_EQ(draft.homeRegions, std::vector<std::string> {"punjab"});
-    auto hurried = Claims;
+    auto hurried = DefaultAttributes;
     hurried.timeLeft = 500ms;
     EXPECT_EQ(admit(hurried).deadline, Start + 500ms);
 }
@@ -84,13 +84,13 @@
 // Guards against placements by the wrong size, and against moves of streams that are repeated instead.
 TEST(RelayAdmission, DemandFollowsTheClaims)
 {
-    const auto draft = admit(Claims).demand;
+    const auto draft = admit(DefaultAttributes).demand;
     EXPECT_EQ(draft.promptTokens, 3000);
     EXPECT_EQ(draft.expectedTokens, 900);
-    EXPECT_TRUE(draft.isMovable);
-    EXPECT_FALSE(admit(claimsWith("/hint/x")).demand.isMovable);
-    EXPECT_EQ(admit(claimsWith("/open/x")).demand.promptTokens, 0);
-    auto hintAboveMost = Claims;
+    EXPECT_TRUE(draft.isMigratable);
+    EXPECT_FALSE(admit(attributesWith("/hint/x")).demand.isMigratable);
+    EXPECT_EQ(admit(attributesWith("/open/x")).demand.promptTokens, 0);
+    auto hintAboveMost = DefaultAttributes;
     hintAboveMost.lengthHint = 5000;
     EXPECT_EQ(admit(hintAboveMost).demand.expectedTokens, 2000);
 }
--- a/Tests/LibRelay/TestTargetBalancer.cpp
+++ b/Tests/LibRelay/TestTargetBalancer.cpp
@@ -13,12 +13,12 @@
 
 RelayService engineService()
 {
-    return {.name = "s", .engine = EngineProfile {.slots = 24, .memoryTokens = 30000, .canMove = true}};
+    return {.name = "s", .engine = EngineProfile {.slots = 24, .memoryTokens = 30000, .canMigrate = true}};
 }
 
-TargetBalancer balancer(double spread = 0)
+TargetBalancer makeBalancer(double costJitter = 0)
 {
-    return TargetBalancer({.region = "punjab", .regions = {{"lahore", "punjab"}, {"karachi", "sindh"}}, .spread = spread});
+    return TargetBalancer({.region = "punjab", .regions = {{"lahore", "punjab"}, {"karachi", "sindh"}}, .costJitter = costJitter});
 }
 
 std::string chosen(const TargetBalancer &balancer, const TargetTable &targets, const RelayService &service, const TargetBalancer::Query &query)
@@ -35,24 +35,24 @@
     TargetTable targets({});
     targets.set(entry("a"), Start);
     targets.set(entry("b"), Start);
-    auto policy = balancer();
-    policy.setPeerLoads("peer", {{.target = "a", .running = 1, .memory = 3000, .prefill = 3000}});
-    EXPECT_EQ(chosen(policy, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000}}), "b");
-    policy.dropPeer("peer");
-    policy.started("r", "b", {.service = "s", .promptTokens = 3000, .expectedTokens = 100}, Start);
-    EXPECT_EQ(chosen(policy, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000}}), "a");
+    auto balancer = makeBalancer();
+    balancer.setPeerLoads("peer", {{.target = "a", .running = 1, .memory = 3000, .prefill = 3000}});
+    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000}}), "b");
+    balancer.dropPeer("peer");
+    balancer.onRunStarted("r", "b", {.service = "s", .promptTokens = 3000, .expectedTokens = 100}, Start);
+    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000}}), "a");
 }
 
 // Guards against sums of peers' loads that drift while heartbeats replace each other.
 TEST(TargetBalancer, LoadsOfPeersAreTheirLatest)
 {
-    auto policy = balancer();
+    auto balancer = makeBalancer();
     std::mt19937 random(1);
     std::map<std::string, std::vector<TargetLoad>> latest;
     for (int round = 0; round < 2000; ++round) {
         const auto peer = std::to_string(random() % 5);
         if (random() % 8 == 0) {
-            policy.dropPeer(peer);
+            balancer.dropPeer(peer);
             latest.erase(peer);
             continue;
         }
@@ -62,7 +62,7 @@
                 loads.push_back({.target = target, .running = static_cast<int>(random() % 4), .memory = static_cast<int64_t>(random() % 900)});
             }
         }
-        policy.setPeerLoads(peer, loads);
+        balancer.setPeerLoads(peer, loads);
         latest[peer] = loads;
         for (const auto *target : {"a", "b", "c"}) {
             TargetLoad expected;
@@ -73,8 +73,8 @@
                     }
                 }
             }
-            ASSERT_EQ(policy.loadOf(target).running, expected.running) << round;
-            ASSERT_EQ(policy.loadOf(target).memory, expected.memory) << round;
+            ASSERT_EQ(balancer.loadOf(target).running, expected.running) << round;
+            ASSERT_EQ(balancer.loadOf(target).memory, expected.memory) << round;
         }
     }
 }
@@ -85,9 +85,9 @@
     TargetTable targets({});
     targets.set(entry("a"), Start);
     targets.set(entry("b"), Start);
-    auto policy = balancer();
-    policy.setPeerLoads("peer", {{.target = "a", .running = 7, .memory = 28000}, {.target = "b", .running = 12, .memory = 12000}});
-    EXPECT_EQ(chosen(policy, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000, .expectedTokens = 1000}}), "b");
+    auto balancer = makeBalancer();
+    balancer.setPeerLoads("peer", {{.target = "a", .running = 7, .memory = 28000}, {.target = "b", .running = 12, .memory = 12000}});
+    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000, .expectedTokens = 1000}}), "b");
 }
 
 // Guards against requests that leave their home region.
@@ -98,10 +98,10 @@
     far.dataCentre = "karachi";
     targets.set(far, Start);
     targets.set(entry("near"), Start);
-    const auto policy = balancer();
-    EXPECT_EQ(chosen(policy, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"sindh"}}), "far");
-    EXPECT_EQ(chosen(policy, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"elsewhere"}}), "");
-    EXPECT_EQ(chosen(policy, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {}}), "");
+    const auto balancer = makeBalancer();
+    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"sindh"}}), "far");
+    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"elsewhere"}}), "");
+    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {}}), "");
 }
 
 // Load pattern: a target fails part of its requests while it reports itself healthy. Guards against sending it the same share as before.
@@ -110,12 +110,12 @@
     TargetTable targets({});
     targets.set(entry("a"), Start);
     targets.set(entry("b"), Start);
-    auto policy = balancer();
-    policy.started("r", "a", {.service = "s"}, Start);
-    policy.ended("r", RunEnd::Failed, Start);
+    auto balancer = makeBalancer();
+    balancer.onRunStarted("r", "a", {.service = "s"}, Start);
+    balancer.onRunEnded("r", RunEnd::Failed, Start);
     const RelayService desk {.name = "s"};
-    EXPECT_EQ(chosen(policy, targets, desk, {.demand = {.service = "s"}}), "b");
-    EXPECT_LT(policy.failureShare("a", Start + 20s), 0.01);
+    EXPECT_EQ(chosen(balancer, targets, desk, {.demand = {.service = "s"}}), "b");
+    EXPECT_LT(balancer.failureShare("a", Start + 20s), 0.01);
 }
 
 // Load pattern: the list of targets is out of reach and a target has crashed. Guards against requests that try it again and again, and against a target that
@@ -125,70 +125,70 @@
     TargetTable targets({});
     targets.set(entry("a"), Start);
     targets.set(entry("b"), Start);
-    auto policy = balancer();
-    policy.setPeerLoads("peer", {{.target = "b", .running = 20, .memory = 29000}});
-    const TargetBalancer::Query move {.demand = {.service = "s"}, .isMove = true};
+    auto balancer = makeBalancer();
+    balancer.setPeerLoads("peer", {{.target = "b", .running = 20, .memory = 29000}});
+    const TargetBalancer::Query move {.demand = {.service = "s"}, .isMigration = true};
     const auto isChosen = [&](MonotonicTime now) {
-        const auto choice = policy.choose(move, targets, engineService(), now, 1);
+        const auto choice = balancer.choose(move, targets, engineService(), now, 1);
         return choice.target && choice.target->entry.id == "a";
     };
-    policy.unreachable("a", Start);
+    balancer.markUnreachable("a", Start);
     EXPECT_FALSE(isChosen(Start + 1400ms));
     EXPECT_TRUE(isChosen(Start + 60s));
-    policy.unreachable("a", Start + 1600ms);
+    balancer.markUnreachable("a", Start + 1600ms);
     EXPECT_FALSE(isChosen(Start + 4500ms));
-    policy.reachable("a");
+    balancer.markReachable("a");
     EXPECT_TRUE(isChosen(Start + 60s));
 }
 
 // Guards against bookkeeping that drifts: after all runs have ended, no load is left.
 TEST(TargetBalancer, LoadsReturnToZero)
 {
-    auto policy = balancer();
+    auto balancer = makeBalancer();
     std::mt19937 random(1);
     for (int round = 0; round < 1000; ++round) {
         const auto request = std::to_string(random() % 20);
         const auto target = std::string(1, static_cast<char>('a' + random() % 3));
         switch (random() % 5) {
         case 0:
-            policy.started(request, target, {.service = "s", .promptTokens = 100, .expectedTokens = 10, .isMovable = true}, Start);
+            balancer.onRunStarted(request, target, {.service = "s", .promptTokens = 100, .expectedTokens = 10, .isMigratable = true}, Start);
             break;
         case 1:
-            policy.produced(request, 4);
+            balancer.onTokensProduced(request, 4);
             break;
         case 2:
-            policy.setCopy(request, target, 500);
+            balancer.setCopy(request, target, 500);
             break;
         case 3:
-            policy.dropCopy(request);
+            balancer.dropCopy(request);
             break;
         default:
-            policy.ended(request, RunEnd::Finished, Start);
+            balancer.onRunEnded(request, RunEnd::Finished, Start);
             break;
         }
     }
     for (int request = 0; request < 20; ++request) {
-        policy.ended(std::to_string(request), RunEnd::Finished, Start);
-        policy.dropCopy(std::to_string(request));
+        balancer.onRunEnded(std::to_string(request), RunEnd::Finished, Start);
+        balancer.dropCopy(std::to_string(request));
     }
-    EXPECT_TRUE(policy.ownLoads().empty());
+    EXPECT_TRUE(balancer.ownLoads().empty());
 }
 
 // Load pattern: all gateways return after an outage and meet cold targets. Guards against more requests in a second than a cold target bears, over all
 // gateways, also if each sees one gateway less than there are.
-TEST(ColdRate, AllGatewaysTogetherKeepToTheBound)
+TEST(ColdTargetRateLimiter, AllGatewaysTogetherKeepToTheBound)
 {
     constexpr double ColdPerSecond = 41;
     constexpr double Overrun = 1.5;
     constexpr double Slack = 5;
     for (const int gateways : {1, 2, 7, 8, 30}) {
-        std::vector<ColdRate> rates(static_cast<size_t>(gateways));
+        std::vector<ColdTargetRateLimiter> rates(static_cast<size_t>(gateways));
         std::vector<MonotonicTime> sends;
         for (auto now = Start; now < Start + 5s; now += 7ms) {
             for (auto &rate : rates) {
-                const int share = ColdRate::share(ColdPerSecond, std::max(1, gateways - 1));
-                if (rate.mayTake("a", share, now)) {
-                    rate.noteTaken("a", now);
+                const int share = ColdTargetRateLimiter::share(ColdPerSecond, std::max(1, gateways - 1));
+                if (rate.isWithinShare("a", share, now)) {
+                    rate.recordStart("a", now);
                     sends.push_back(now);
                 }
             }
@@ -211,18 +211,18 @@
     for (int number = 0; number < Targets; ++number) {
         targets.set(entry("t" + std::to_string(number)), Start);
     }
-    auto policy = balancer(12);
+    auto balancer = makeBalancer(12);
     std::mt19937_64 random(1);
     const auto service = engineService();
     for (int number = 0; number < Runs; ++number) {
         const RunDemand demand {.service = "s", .promptTokens = 3000, .expectedTokens = 900};
-        const auto choice = policy.choose({.demand = demand}, targets, service, Start, random());
+        const auto choice = balancer.choose({.demand = demand}, targets, service, Start, random());
         ASSERT_NE(choice.target, nullptr);
         ASSERT_LE(choice.candidates, 64);
-        policy.started("r" + std::to_string(number), choice.target->entry.id, demand, Start);
+        balancer.onRunStarted("r" + std::to_string(number), choice.target->entry.id, demand, Start);
     }
     int most = 0;
-    for (const auto &load : policy.ownLoads()) {
+    for (const auto &load : balancer.ownLoads()) {
         most = std::max(most, load.running);
     }
     EXPECT_LE(most, 6);
@@ -238,11 +238,11 @@
         other.dataCentre = number == 1700 ? "lahore" : "karachi";
         targets.set(other, Start);
     }
-    const auto policy = balancer();
+    const auto balancer = makeBalancer();
     std::mt19937_64 random(1);
     for (int number = 0; number < 20; ++number) {
         const auto choice
-            = policy.choose({.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"punjab"}}, targets, engineService(), Start, random());
+            = balancer.choose({.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"punjab"}}, targets, engineService(), Start, random());
         ASSERT_NE(choice.target, nullptr);
         EXPECT_EQ(choice.target->entry.id, "t1700");
     }
@@ -254,34 +254,34 @@
     TargetTable targets({});
     targets.set(entry("a"), Start);
     targets.set(entry("b"), Start);
-    auto choices = balancer();
-    choices.quiet().note("a", 2000ms, Start);
-    choices.quiet().note("b", 1500ms, Start);
-    EXPECT_EQ(choices.choose({}, targets, engineService(), Start, 1).target, nullptr);
-    EXPECT_EQ(choices.choose({}, targets, engineService(), Start, 1).quietUntil, Start + 1500ms);
-    EXPECT_EQ(choices.choose({.isMove = true, .source = "c"}, targets, engineService(), Start, 1).target, nullptr);
-    EXPECT_EQ(choices.choose({}, targets, engineService(), Start + 1600ms, 1).target->entry.id, "b");
-    EXPECT_TRUE(choices.quiet().mayContinue("a", Start));
-    choices.quiet().noteContinuation("a");
-    EXPECT_FALSE(choices.quiet().mayContinue("a", Start));
-    EXPECT_TRUE(choices.quiet().mayContinue("a", Start + 2100ms));
+    auto balancer = makeBalancer();
+    balancer.cooldowns().record("a", 2000ms, Start);
+    balancer.cooldowns().record("b", 1500ms, Start);
+    EXPECT_EQ(balancer.choose({}, targets, engineService(), Start, 1).target, nullptr);
+    EXPECT_EQ(balancer.choose({}, targets, engineService(), Start, 1).cooldownUntil, Start + 1500ms);
+    EXPECT_EQ(balancer.choose({.isMigration = true, .source = "c"}, targets, engineService(), Start, 1).target, nullptr);
+    EXPECT_EQ(balancer.choose({}, targets, engineService(), Start + 1600ms, 1).target->entry.id, "b");
+    EXPECT_TRUE(balancer.cooldowns().mayContinue("a", Start));
+    balancer.cooldowns().recordContinuation("a");
+    EXPECT_FALSE(balancer.cooldowns().mayContinue("a", Start));
+    EXPECT_TRUE(balancer.cooldowns().mayContinue("a", Start + 2100ms));
 }
 
 // Guards against a target that is never used again because of an absurd time.
-TEST(QuietTargets, TimesAreBounded)
+TEST(TargetCooldowns, TimesAreBounded)
 {
-    QuietTargets quiet({.longest = 10s});
-    quiet.note("a", std::chrono::hours(24), Start);
-    EXPECT_EQ(quiet.until("a", Start), Start + 10s);
-    quiet.note("a", 1s, Start);
-    EXPECT_EQ(quiet.until("a", Start), Start + 10s);
-    quiet.note("b", 0ms, Start);
-    EXPECT_FALSE(quiet.until("b", Start));
+    TargetCooldowns cooldowns({.maxCooldown = 10s});
+    cooldowns.record("a", std::chrono::hours(24), Start);
+    EXPECT_EQ(cooldowns.until("a", Start), Start + 10s);
+    cooldowns.record("a", 1s, Start);
+    EXPECT_EQ(cooldowns.until("a", Start), Start + 10s);
+    cooldowns.record("b", 0ms, Start);
+    EXPECT_FALSE(cooldowns.until("b", Start));
 }
 
 // Load pattern: one engine returns cold and is the cheapest for each of 400 relays, which start as much there as they may. Views differ: each relay has lost up
 // to half of the others lately, some relays have just started, and some are cut off and hear nobody.
-TEST(ColdRate, ColdTargetsKeepToTheBoundInLargeFleets)
+TEST(ColdTargetRateLimiter, ColdTargetsKeepToTheBoundInLargeFleets)
 {
     constexpr double ColdPerSecond = 19;
     // The users' bound on starts within a second.
@@ -308,7 +308,7 @@
                 if (isNew) {
                     others.resize(random() % (others.size() + 1));
                 }
-                starts += ColdRate::coldShare(ColdPerSecond, {.others = others, .self = names[self], .isSettled = !isNew}, target);
+                starts += ColdTargetRateLimiter::coldShare(ColdPerSecond, {.others = others, .self = names[self], .hasDiscoveredPeers = !isNew}, target);
             }
             ASSERT_LE(starts, Bound) << relays << " relays, seed " << seed;
             ASSERT_TRUE(starts > 0 || alive < relays || relays < 10) << relays << " relays, seed " << seed;
@@ -327,11 +327,11 @@
     service.engine->memoryTokens = 90000;
     service.engine->bytesPerToken = 327680;
     service.engine->linkMbps = 47000;
-    auto choices = balancer();
+    auto balancer = makeBalancer();
     // Five generations of 4,000 tokens need 1.1 s of the link; the other engine runs some more short requests.
-    choices.setPeerLoads("p", {{.target = "many", .running = 5, .memory = 25000, .movable = 20000}, {.target = "few", .running = 9, .memory = 20000}});
-    EXPECT_EQ(chosen(choices, targets, service, {.demand = {.promptTokens = 3000, .expectedTokens = 900, .isMovable = true}}), "few");
-    EXPECT_EQ(chosen(choices, targets, service, {.demand = {.promptTokens = 3000, .expectedTokens = 10}}), "many");
+    balancer.setPeerLoads("p", {{.target = "many", .running = 5, .memory = 25000, .movable = 20000}, {.target = "few", .running = 9, .memory = 20000}});
+    EXPECT_EQ(chosen(balancer, targets, service, {.demand = {.promptTokens = 3000, .expectedTokens = 900, .isMigratable = true}}), "few");
+    EXPECT_EQ(chosen(balancer, targets, service, {.demand = {.promptTokens = 3000, .expectedTokens = 10}}), "many");
 }
 
 // Load pattern: three engines of a data centre leave at once, and many relays order copies of their generations. Guards against copies from different engines
@@ -347,7 +347,8 @@
         std::map<std::string, std::set<std::string>> sourcesOf;
         for (const auto &source : sources) {
             for (uint64_t relay = 0; relay < 5; ++relay) {
-                const auto choice = balancer().choose({.isMove = true, .source = source, .otherSources = sources}, targets, engineService(), Start, relay);
+                const auto choice
+                    = makeBalancer().choose({.isMigration = true, .source = source, .otherSources = sources}, targets, engineService(), Start, relay);
                 sourcesOf[choice.target->entry.id].insert(source);
             }
         }
--- a/Tests/LibRelay/TestTargets.cpp
+++ b/Tests/LibRelay/TestTargetTable.cpp
@@ -46,7 +46,7 @@
 // Guards against all targets being dropped when the store returns and their entries lapsed meanwhile.
 TEST(TargetTable, LapsedEntriesHaveTimeToReturn)
 {
-    TargetTable targets({.lapseGrace = 2000ms});
+    TargetTable targets({.reregistrationGrace = 2000ms});
     targets.set(entry("a", 1), Start);
     targets.set(entry("b", 1), Start);
     EXPECT_FALSE(targets.remove("a", true, 2, Start));
@@ -128,7 +128,7 @@
 {
     TargetTable targets({});
     targets.set(entry("a", 1), Start);
-    EXPECT_TRUE(targets.noteLeaving("a", 1, Start));
+    EXPECT_TRUE(targets.recordLeaving("a", 1, Start));
     targets.set(entry("a", 7), Start + 1s);
     EXPECT_FALSE(targets.isUsable(*targets.find("a"), Start + 1s));
     auto moved = entry("a", 8);
@@ -149,22 +149,22 @@
 {
     TargetTable targets({});
     targets.set(entry("a", 1, 2), Start);
-    EXPECT_FALSE(targets.noteLeaving("a", 1, Start));
+    EXPECT_FALSE(targets.recordLeaving("a", 1, Start));
     EXPECT_TRUE(targets.isUsable(*targets.find("a"), Start));
 }
 
 // Guards against relays that do not learn from a peer that a target leaves because they have a newer entry of the list.
 TEST(TargetTable, LeavingIsToldToRelaysWithNewerEntries)
 {
-    TargetTable teller({});
-    teller.set(entry("a", 1), Start);
-    teller.noteLeaving("a", 1, Start);
-    TargetTable listener({});
-    listener.set(entry("a", 5), Start);
-    for (const auto &change : teller.recentChanges(1s, Start)) {
-        EXPECT_TRUE(listener.set(change, Start));
+    TargetTable reporter({});
+    reporter.set(entry("a", 1), Start);
+    reporter.recordLeaving("a", 1, Start);
+    TargetTable receiver({});
+    receiver.set(entry("a", 5), Start);
+    for (const auto &change : reporter.recentChanges(1s, Start)) {
+        EXPECT_TRUE(receiver.set(change, Start));
     }
-    EXPECT_FALSE(listener.isUsable(*listener.find("a"), Start));
+    EXPECT_FALSE(receiver.isUsable(*receiver.find("a"), Start));
 }
 
 // Guards against relays that do not read the list and take a target that has turned cold for a warm one.
--- a/Tests/Platform/TestCodecs.cpp
+++ b/Tests/Platform/TestCodecs.cpp
@@ -31,15 +31,15 @@
     ASSERT_TRUE(document.ok()) << document.status();
     EXPECT_EQ(document->version, 7);
     ASSERT_EQ(document->routes.size(), 3U);
-    EXPECT_EQ(document->routes[0].kind, RelayKind::Stream);
+    EXPECT_EQ(document->routes[0].kind, RouteKind::Stream);
     EXPECT_TRUE(document->routes[0].resumable);
-    EXPECT_EQ(document->routes[0].gapTarget, 180ms);
+    EXPECT_EQ(document->routes[0].eventPauseGoal, 180ms);
     EXPECT_EQ(document->routes[0].homeRegions, std::vector<std::string> {"sindh"});
-    EXPECT_EQ(document->routes[1].kind, RelayKind::Repeatable);
+    EXPECT_EQ(document->routes[1].kind, RouteKind::Repeatable);
     EXPECT_TRUE(document->routes[1].isPublic);
     ASSERT_EQ(document->routes[1].shares.size(), 2U);
     EXPECT_EQ(document->routes[1].shares[0].weight, 90);
-    EXPECT_EQ(document->routes[2].kind, RelayKind::OneTime);
+    EXPECT_EQ(document->routes[2].kind, RouteKind::OneTime);
     ASSERT_TRUE(document->services[0].engine);
     EXPECT_EQ(document->services[0].engine->memoryTokens, 34386);
     EXPECT_EQ(document->services[0].engine->tokensPerEvent, 4);
@@ -61,7 +61,7 @@
     // A kind that is not known is treated as one that must not be repeated.
     const auto document = decodeRelayDocument(R"({"version":1,"routes":[{"host":"h","prefix":"/","route_type":"other","service":"s"}],"services":[]})");
     ASSERT_TRUE(document.ok());
-    EXPECT_EQ(document->routes[0].kind, RelayKind::OneTime);
+    EXPECT_EQ(document->routes[0].kind, RouteKind::OneTime);
 }
 
 // Guards against entries of other writers that name a server to use.
@@ -110,7 +110,7 @@
     const auto copied = decode(200, R"({"handle":"h","created":35})");
     EXPECT_EQ(copied.kind, CopyResult::Kind::Copied);
     EXPECT_EQ(copied.handle, "h");
-    EXPECT_EQ(copied.eventsMade, 35);
+    EXPECT_EQ(copied.eventsProduced, 35);
     EXPECT_EQ(decode(404, "").kind, CopyResult::Kind::NotRunning);
     EXPECT_EQ(decode(409, "").kind, CopyResult::Kind::Busy);
     EXPECT_EQ(decode(503, R"({"handle":"h"})").handle, "h");
--- a/Utilities/RelayBenchmark/RelayBenchmark.cpp
+++ b/Utilities/RelayBenchmark/RelayBenchmark.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <benchmark/benchmark.h>
 #include <LibPolicy/SplitMix.h>
-#include <LibRelay/PeerNewsCodec.h>
+#include <LibRelay/PeerHeartbeatCodec.h>
 #include <LibRelay/TargetBalancer.h>
 
 namespace Jujube
@@ -66,8 +66,8 @@
     const auto targets = makeTargets(state.range(0));
     auto balancer = makeBalancer();
     addLoads(balancer, targets, random);
-    const RelayService service {.name = "engines", .engine = EngineProfile {.slots = 24, .memoryTokens = 27000, .canMove = true}};
-    const TargetBalancer::Query query {.demand = {.service = "engines", .promptTokens = 3000, .expectedTokens = 900}, .liveGateways = Relays};
+    const RelayService service {.name = "engines", .engine = EngineProfile {.slots = 24, .memoryTokens = 27000, .canMigrate = true}};
+    const TargetBalancer::Query query {.demand = {.service = "engines", .promptTokens = 3000, .expectedTokens = 900}, .liveRelays = Relays};
     std::vector<std::string> placed;
     std::vector<double> times;
     auto now = Start;
@@ -80,10 +80,10 @@
         state.SetIterationTime(elapsed.count());
         times.push_back(elapsed.count());
         const auto request = "r" + std::to_string(times.size());
-        balancer.started(request, choice.target->entry.id, query.demand, now);
+        balancer.onRunStarted(request, choice.target->entry.id, query.demand, now);
         placed.push_back(request);
         if (placed.size() > OwnRuns) {
-            balancer.ended(placed.front(), RunEnd::Finished, now);
+            balancer.onRunEnded(placed.front(), RunEnd::Finished, now);
             placed.erase(placed.begin());
         }
     }
@@ -97,16 +97,16 @@
 void encodeHeartbeat(benchmark::State &state)
 {
     constexpr int Loads = 50;
-    PeerNews news {.node = "edge-lahore-a-1", .callers = "10.1.0.19:8740", .peers = "10.1.0.19:8748", .dataCentre = "lahore-a"};
+    PeerHeartbeat heartbeatMessage {.node = "edge-lahore-a-1", .callers = "10.1.0.19:8740", .peers = "10.1.0.19:8748", .dataCentre = "lahore-a"};
     for (int number = 0; number < Loads; ++number) {
-        news.loads.push_back({.target = "i-4bd68e9f" + std::to_string(number), .running = number, .memory = 4000});
+        heartbeatMessage.loads.push_back({.target = "i-4bd68e9f" + std::to_string(number), .running = number, .memory = 4000});
     }
     const auto targets = makeTargets(state.range(0));
     for (const auto &[id, target] : targets.targets()) {
-        news.targets.push_back(target.entry);
+        heartbeatMessage.targets.push_back(target.entry);
     }
     while (state.KeepRunning()) {
-        benchmark::DoNotOptimize(encodePeerNews(news));
+        benchmark::DoNotOptimize(encodePeerHeartbeat(heartbeatMessage));
     }
 }
 
