--- a/Libraries/LibRelay/ColdTargetRateLimiter.cpp
+++ b/Libraries/LibRelay/ColdTargetRateLimiter.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// Part of the rate that is given out; above one, because not all gateways choose the same target at once.
+// Factor on this relay's share of the rate; above one, because not all relays choose the same target at once.
 constexpr double OvercommitFactor = 1.2;
 
 } // namespace
--- a/Libraries/LibRelay/ColdTargetRateLimiter.h
+++ b/Libraries/LibRelay/ColdTargetRateLimiter.h
@@ -10,28 +10,29 @@
 namespace Jujube
 {
 
-// The gateways over which the rate of a cold target is divided.
+// The relays among which the request rate of a cold target is divided.
 struct ColdRateParticipants {
-    // Hashes of the names of the other gateways that were heard lately, also of those that are silent now: the share of a gateway that is cut off must not
-    // grow.
+    // Hashes of the names of the other relays that were heard from recently, including those that are silent now: the share of a relay that loses its
+    // connections must not grow.
     std::span<const uint64_t> others;
     uint64_t self = 0;
-    // Whether this gateway has run for long enough to have heard the others.
+    // Whether this relay has run for long enough to have received heartbeats of its peers.
     bool hasDiscoveredPeers = true;
 };
 
-// Bounds the requests per second at one target to this gateway's share of what a cold target bears. It applies to warm targets as well, because a target may
-// turn cold unseen, and the share is far above what a warm target gets from one gateway.
+// Limits the requests per second that this relay sends to one target to its share of what a cold target can serve. The limit applies to warm targets as well,
+// because a target may turn cold unnoticed, and the share is far above what one relay sends to a warm target.
 //
-// Load pattern: an engine returns cold and empty, and is the cheapest one for each of some hundred gateways, more than the starts that it bears in a second.
-// Its starts then belong to as many gateways as it bears starts, the first ones in an order that all gateways agree on (rendezvous hashing, Thaler and
-// Ravishankar, 1998). Gateways that do not hear each other get the same order, so that the bound is kept if each knows the others or has known them lately.
+// An engine that returns is cold and idle, so some hundred relays find it the cheapest target at the same time, although it can start fewer requests per second
+// than there are relays. Its starts are therefore assigned to as many relays as it can start requests per second: the first ones in an order on which all
+// relays agree (rendezvous hashing, Thaler and Ravishankar, 1998). Relays that cannot reach each other compute the same order, so the limit is kept as long as
+// each relay knows its peers or has known them recently.
 class ColdTargetRateLimiter
 {
 public:
-    // Most sends of this gateway within a second to a target that is not known to be cold.
+    // Maximum number of requests that this relay starts within a second at a target that is not known to be cold.
     static int share(double coldPerSecond, int liveRelays);
-    // The same for a target that may be cold. Zero if its starts belong to other gateways.
+    // The same for a target that may be cold. Zero if its starts are assigned to other relays.
     static int coldShare(double coldPerSecond, const ColdRateParticipants &sharers, std::string_view target);
 
     bool isWithinShare(const std::string &target, int share, MonotonicTime now) const;
--- a/Libraries/LibRelay/DrainAdmission.h
+++ b/Libraries/LibRelay/DrainAdmission.h
@@ -6,16 +6,16 @@
 namespace Jujube
 {
 
-// Load pattern: nodes are stopped one after the other while callers keep using their open channels. A request that cannot end before the process is killed is
-// better served by another gateway, and it is told so at once.
+// During a rolling restart, callers keep using their open connections. A request that cannot end before the process is killed is better served by another
+// relay, so it is rejected at once.
 struct DrainAdmission {
-    // Prompt tokens that an engine reads in a millisecond.
+    // Prompt tokens that an engine processes per millisecond.
     double prefillTokensPerMs = 14;
     // Time of one output token on a busy engine.
     std::chrono::microseconds timePerToken {10500};
-    // Longest time of a call that is not a generation, in all but a few cases.
+    // Duration of a call that is not a generation; only a few calls take longer.
     std::chrono::milliseconds callDuration {1500};
-    // Longest time that a generation waits for its engine, in all but a few cases.
+    // Time for which a generation waits for its engine; only a few wait longer.
     std::chrono::milliseconds queueTime {2000};
     // Output lengths are estimates; most outputs are shorter than this many times the estimate.
     double lengthFactor = 1.3;
--- a/Libraries/LibRelay/EventSplitter.cpp
+++ b/Libraries/LibRelay/EventSplitter.cpp
@@ -14,7 +14,7 @@
 constexpr std::string_view EventEnd = "\n\n";
 constexpr std::string_view EventEndCrLf = "\r\n\r\n";
 
-// Position behind the first whole event, or npos.
+// Position after the first complete event, or npos.
 size_t endOfEvent(std::string_view text)
 {
     const auto plain = text.find(EventEnd);
--- a/Libraries/LibRelay/EventSplitter.h
+++ b/Libraries/LibRelay/EventSplitter.h
@@ -8,45 +8,45 @@
 namespace Jujube
 {
 
-// Cuts the bytes of a text/event-stream into whole events, so that a stream that breaks in the middle of an event can be continued by another target. Bytes
-// of whole events are passed on unchanged.
+// Splits the bytes of a text/event-stream into complete events, so that a stream that breaks in the middle of an event can be continued by another target. The
+// bytes of complete events are passed on unchanged.
 class EventSplitter
 {
 public:
-    // Takes in bytes and returns the whole events that they complete.
+    // Appends bytes and returns the events that they complete.
     std::string feed(std::string_view bytes);
 
-    // The id of the last whole event. Nothing before the first event with a numeric id.
+    // The id of the last complete event. Nothing before the first event with a numeric id.
     std::optional<int64_t> lastId() const
     {
         return m_lastId;
     }
 
-    // Events so far, whether they have an id or not.
+    // Number of events so far, with or without an id.
     int64_t count() const
     {
         return m_count;
     }
 
-    // Bytes behind the last whole event.
+    // Whether there are bytes after the last complete event.
     bool hasPartialEvent() const
     {
         return !m_partial.empty();
     }
 
-    // An event had an id that is not the one after its predecessor's.
+    // Whether an event had an id other than its predecessor's plus one.
     bool isOutOfOrder() const
     {
         return m_outOfOrder;
     }
 
-    // The bytes behind the last whole event are too many for one event.
+    // Whether the bytes after the last complete event are too many for one event.
     bool isTooLong() const
     {
         return m_partial.size() > MaxEventBytes;
     }
 
-    // The stream goes on from another target after the last whole event.
+    // Discards a partial event, because another target continues the stream after the last complete event.
     void discardPartialEvent();
 
 private:
--- a/Libraries/LibRelay/MigrationSchedule.cpp
+++ b/Libraries/LibRelay/MigrationSchedule.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// An engine that leaves is gone by then.
+// An engine that leaves is gone after this time.
 constexpr std::chrono::seconds LeavingTargetRetention {20};
 
 } // namespace
--- a/Libraries/LibRelay/MigrationSchedule.h
+++ b/Libraries/LibRelay/MigrationSchedule.h
@@ -9,31 +9,32 @@
 namespace Jujube
 {
 
-// Decides when the copies of generations whose engine leaves are ordered. Load pattern: an engine with several long generations is taken away within some two
-// seconds, and its link carries one copy after the other. A generation is stopped by a second, short copy, which must not wait behind the first copies of
-// others; so the copies of one engine are ordered one generation at a time, the most valuable first, and gateways take turns in an order that they agree on.
+// Decides when to order the KV cache copies of generations whose engine is leaving. An engine with several long generations terminates within some two seconds,
+// and its link transfers one copy after the other. Each migration ends with a second, short copy that stops the generation and must not queue behind the first
+// copies of others. Copies of one engine are therefore ordered one generation at a time, the most valuable first, and relays take turns in an order on which
+// they agree.
 class MigrationSchedule
 {
 public:
-    // An engine leaves. `wait` is the time that the copies of the gateways before this one need.
+    // Registers an engine that is leaving. `wait` is the time that the relays before this one need for their copies.
     void addLeavingTarget(const std::string &target, std::chrono::milliseconds wait, MonotonicTime now);
 
-    // A generation on the engine waits for its turn.
+    // Queues a generation of the engine for migration.
     void add(const std::string &target, const std::string &request, double value);
 
-    // The generation has been moved, has ended, or cannot be moved now: the turn passes on.
+    // Removes a generation that has been migrated, has ended, or cannot be migrated now, so that the next one gets its turn.
     void remove(const std::string &request);
 
-    // No gateway before this one has a generation on the engine any more.
+    // Starts this relay's turn early, because no relay before it has a generation on the engine any more.
     void grantTurn(const std::string &target, MonotonicTime now);
 
-    // Engines whose generations wait for gateways before this one.
+    // Engines whose generations wait for the turns of other relays.
     std::vector<std::string> waitingTargets(MonotonicTime now) const;
 
-    // Generations whose copies are to be ordered now. Each keeps its engine's turn until remove().
+    // Generations whose copies are to be ordered now. Each occupies its engine until remove().
     std::vector<std::string> takeDue(MonotonicTime now);
 
-    // When takeDue() has to be called next, or nothing if no generation waits for a time.
+    // When takeDue() has to be called next, or nothing if no generation is waiting for its turn.
     std::optional<MonotonicTime> nextDueTime() const;
 
     // Forgets engines that left long ago.
@@ -48,7 +49,7 @@
         MonotonicTime since;
         MonotonicTime turnAt;
         std::vector<Waiting> waiting;
-        // The generation that has the turn; empty if none.
+        // The generation that is being copied; empty if none.
         std::string active;
     };
 
--- a/Libraries/LibRelay/PeerHeartbeatCodec.cpp
+++ b/Libraries/LibRelay/PeerHeartbeatCodec.cpp
@@ -13,7 +13,7 @@
 
 // The second character is the version of the format.
 constexpr std::string_view FormatMarker = "R1";
-// An answer with all targets of a fleet has the longest list.
+// The longest list is in a response with all targets of a fleet.
 constexpr ThriftLimits DecodingLimits {.listItems = 20000};
 
 Wire::ChangedTarget toWire(const TargetEntry &entry)
--- a/Libraries/LibRelay/PeerHeartbeatCodec.h
+++ b/Libraries/LibRelay/PeerHeartbeatCodec.h
@@ -8,12 +8,12 @@
 namespace Jujube
 {
 
-// Largest datagram between relays. It fits one packet on common networks.
+// Maximum size of a datagram between relays. It fits one packet on common networks.
 constexpr size_t MaxPeerDatagramBytes = 1400;
-// Largest answer with all targets.
+// Maximum size of a response with all targets.
 constexpr size_t MaxPeerResponseBytes = 4 << 20;
 
-// Encodes a heartbeat (Relay.thrift). The loads of the least busy targets are left out if it does not fit.
+// Encodes a heartbeat (Relay.thrift). If it does not fit, loads are dropped, those of the least busy targets first.
 std::string encodePeerHeartbeat(const PeerHeartbeat &heartbeat, size_t maxBytes = MaxPeerDatagramBytes);
 
 // Nothing if the bytes are not a heartbeat.
--- a/Libraries/LibRelay/PeerTable.cpp
+++ b/Libraries/LibRelay/PeerTable.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Heartbeats that may be lost in a row before their sender counts as dead.
+// Heartbeat intervals without a heartbeat after which the sender counts as dead.
 constexpr double HeartbeatsUntilSilent = 2.5;
 
 uint64_t hashOf(const std::string &node)
--- a/Libraries/LibRelay/PeerTable.h
+++ b/Libraries/LibRelay/PeerTable.h
@@ -15,7 +15,7 @@
 namespace Jujube
 {
 
-// What one relay tells the others with each heartbeat.
+// The heartbeat of one relay.
 struct PeerHeartbeat {
     std::string node;
     // Start of the relay's process, in milliseconds since 1970. Heartbeats of an earlier process are ignored.
@@ -30,27 +30,27 @@
     bool accepting = false;
     // Version of the newest change in the document's table.
     int64_t documentTableVersion = 0;
-    // Digest of the targets that the relay knows, the store's version as of which it holds, and how long ago that was read.
+    // Digest of the targets that the relay knows, the store's version that it corresponds to, and the time since that version was read.
     uint64_t targetsDigest = 0;
     int64_t targetsVersion = 0;
     std::chrono::milliseconds targetsAge {0};
-    // Whether the relay reads the store's tables with success.
+    // Whether the relay reads the store's tables successfully.
     bool reading = false;
     // Whether it reads them, or its reads have failed for a short time only.
     bool trying = false;
-    // Longest time until the next heartbeat to the same receiver.
+    // Maximum time until the next heartbeat to the same receiver.
     std::chrono::milliseconds heartbeatInterval {0};
-    // Nothing but the name, the numbers and the loads is filled in.
+    // Whether only the name, the numbers and the loads are set.
     bool onlyLoads = false;
     std::vector<TargetLoad> loads;
-    // Targets that changed lately.
+    // Targets that changed recently.
     std::vector<TargetEntry> targets;
     std::vector<TargetCrash> crashes;
     // Addresses of further relays.
     std::vector<std::string> known;
 };
 
-// Another relay, by its latest heartbeat. What it has placed on targets is kept by the TargetBalancer.
+// Another relay, as described by its latest heartbeat. Its loads on targets are kept by the TargetBalancer.
 struct Peer {
     PeerHeartbeat heartbeatMessage;
     MonotonicTime receivedAt;
@@ -66,20 +66,20 @@
         std::string region;
         // Region of each data centre.
         std::map<std::string, std::string> regions;
-        // A relay that has not been heard for this time counts as dead, or for the time of some of the heartbeats that it has announced if that is longer.
+        // A relay counts as dead if no heartbeat arrives for this time, or for some of its announced heartbeat intervals if that is longer.
         std::chrono::milliseconds silenceTimeout {2500};
         std::chrono::milliseconds maxSilenceTimeout {6000};
-        // Relays that have been silent for longer have no share in cold targets any more.
+        // Relays that have been silent for longer have no share of the rate of cold targets any more.
         std::chrono::seconds participantRetention {30};
-        // After this time since its start a relay has heard the others, by way of its seeds.
+        // Time after which a started relay has discovered its peers through its seeds.
         std::chrono::milliseconds discoveryTime {2000};
-        // Addresses that were never heard, or not for this time, are forgotten.
+        // Time after which addresses are forgotten that were never heard from or have become silent.
         std::chrono::seconds retention {120};
-        // Pause between heartbeats to an address that does not answer.
+        // Interval between heartbeats to an address that does not respond.
         std::chrono::milliseconds probeInterval {2000};
     };
 
-    // What a heartbeat changed.
+    // The effect of a heartbeat.
     enum class Change {
         None,
         Joined,
@@ -89,21 +89,21 @@
     PeerTable(Options options, MonotonicTime now);
 
     void addAddress(const std::string &address, MonotonicTime now);
-    // Takes in a heartbeat. One with loads only has no effect but that its sender is alive; it is stale if its sender is not known.
+    // Processes a heartbeat. One with loads only has no effect but to show that its sender is alive; it is stale if its sender is not known.
     Change handleHeartbeat(const PeerHeartbeat &heartbeatMessage, MonotonicTime now);
 
     // Which relays get a heartbeat.
     enum class RecipientScope {
         // Live relays in this relay's region.
         Region,
-        // Live relays elsewhere, and now and then addresses that do not answer.
+        // Live relays in other regions and, at longer intervals, addresses that do not respond.
         OutsideRegion,
     };
     std::vector<std::string> recipients(RecipientScope scope, MonotonicTime now);
 
     // Live relays in this relay's region, without this one.
     std::vector<const Peer *> livePeersInRegion(MonotonicTime now) const;
-    // Whether this relay is the one that tells other regions of the loads of its region: the first by name of those alive.
+    // Whether this relay reports the loads of its region to other regions: the first live relay of the region by name.
     bool isRegionRepresentative(const std::string &ownName, MonotonicTime now) const;
 
     // Names of relays that have fallen silent since the last call.
@@ -112,9 +112,9 @@
     std::vector<const Peer *> livePeers(MonotonicTime now) const;
     // Number of live relays, this one included.
     int liveRelayCount(MonotonicTime now) const;
-    // The relays over which the rate of a cold target is divided. Valid until the table changes.
+    // The relays among which the rate of a cold target is divided. Valid until the table changes.
     ColdRateParticipants coldRateParticipants(MonotonicTime now) const;
-    // Some addresses of live relays, for the next heartbeat. Different random numbers give different ones, so that all get known in time.
+    // Some addresses of live relays, for the next heartbeat. Different random numbers select different ones, so that all become known over time.
     std::vector<std::string> knownAddresses(size_t maxCount, MonotonicTime now, uint64_t random) const;
 
 private:
@@ -122,7 +122,7 @@
         MonotonicTime addedAt;
         MonotonicTime receivedAt;
         MonotonicTime probedAt;
-        // How long the relay there counts as alive without a further heartbeat.
+        // How long the relay at the address counts as alive without a further heartbeat.
         std::chrono::milliseconds silenceTimeout {0};
         bool hasBeenHeard = false;
         // Whether a relay of this region has the address.
@@ -140,7 +140,7 @@
     std::set<std::string> m_live;
     MonotonicTime m_startedAt;
     uint64_t m_ownHash = 0;
-    // Hashes of the names of relays that were heard lately.
+    // Hashes of the names of relays that were heard from recently.
     std::vector<uint64_t> m_coldRateParticipants;
 };
 
--- a/Libraries/LibRelay/RegionLoads.cpp
+++ b/Libraries/LibRelay/RegionLoads.cpp
@@ -22,7 +22,7 @@
     }
     for (const auto &loads : *others) {
         for (auto load : loads) {
-            // Told by the relay whose generations they are.
+            // Reported by the relay to which the generations belong.
             load.movable = 0;
             auto &sum = sums[load.target];
             sum.target = load.target;
--- a/Libraries/LibRelay/RegionLoads.h
+++ b/Libraries/LibRelay/RegionLoads.h
@@ -7,11 +7,12 @@
 namespace Jujube
 {
 
-// What relays of other regions are told of loads in a large fleet. Load pattern: dozens of relays in each region, each with something placed on most targets;
-// if each told all of it to every relay elsewhere, heartbeats would outweigh the answers between the regions.
+// The loads that are reported to relays of other regions in a large fleet. Each region has dozens of relays, each with requests on most targets; if every relay
+// reported all of its loads to all relays elsewhere, heartbeats would exceed the response traffic between the regions.
 //
-// Each relay tells only what it would have to copy off its targets, because the turns of copies depend on it from the moment at which a target leaves.
-// `others` are the loads of the other relays in the region for the one relay that speaks for it, which tells the sum of all; nothing for the rest.
+// Each relay reports only what it would have to copy off its targets, because the order of migrations depends on it as soon as a target is leaving. `others`
+// are the loads of the other relays in the region if this relay is the one that reports for the region, which then sends the sum of all; nothing for any other
+// relay.
 std::vector<TargetLoad> loadsForOtherRegions(const std::vector<TargetLoad> &own, const std::optional<std::vector<std::vector<TargetLoad>>> &others);
 
 } // namespace Jujube
--- a/Libraries/LibRelay/Relay.thrift
+++ b/Libraries/LibRelay/Relay.thrift
@@ -10,7 +10,7 @@
   5: i32 movable
 }
 
-// A target that has changed lately: a new one, one at another address, or one that leaves.
+// A target that has changed recently: a new one, one at another address, or one that is leaving.
 struct ChangedTarget {
   1: string target
   2: i64 incarnation
@@ -22,11 +22,11 @@
   8: i32 coldLeftMs
   // The store's version of the entry.
   9: i64 version
-  // The target itself has said that it leaves.
+  // The target itself has reported that it is leaving.
   10: bool saidLeaving
 }
 
-// One crash of a target as one relay saw it.
+// One crash of a target as observed by one relay.
 struct CrashOnTarget {
   1: string target
   2: i64 incarnation
@@ -49,18 +49,18 @@
   10: list<LoadOnTarget> loads
   11: list<ChangedTarget> targets
   12: list<CrashOnTarget> crashes
-  // Addresses for relays of further relays that the sender has heard of.
+  // Peer addresses of further relays that the sender knows.
   13: list<string> known
-  // Digest of the targets that the sender knows, the store's version as of which it holds, and how long ago that was read.
+  // Digest of the targets that the sender knows, the store's version that it corresponds to, and the time since that version was read.
   14: i64 targetsDigest
   15: i64 targetsVersion
   16: i32 targetsAgeMs
-  // Whether the sender reads the store's tables with success.
+  // Whether the sender reads the store's tables successfully.
   17: bool reading
   // Whether the sender reads them, or its reads have failed for a short time only.
   18: bool trying
-  // Longest time until the next heartbeat to the same receiver.
+  // Maximum time until the next heartbeat to the same receiver.
   19: i32 beatMs
-  // Only the name, the numbers and the loads are filled in.
+  // Whether only the name, the numbers and the loads are set.
   20: bool onlyLoads
 }
--- a/Libraries/LibRelay/RelayAdmission.cpp
+++ b/Libraries/LibRelay/RelayAdmission.cpp
@@ -19,7 +19,7 @@
     if (!engine) {
         return demand;
     }
-    // A resumable stream is short, and is repeated where its target is lost.
+    // A resumable stream is short, and is run again if its target fails.
     demand.isMigratable = route.kind == RouteKind::Stream && !route.resumable && engine->canMigrate;
     demand.promptTokens = attributes.promptTokens;
     const bool hintIsSmaller = attributes.lengthHint > 0 && (attributes.maxTokens == 0 || attributes.lengthHint < attributes.maxTokens);
--- a/Libraries/LibRelay/RelayAdmission.h
+++ b/Libraries/LibRelay/RelayAdmission.h
@@ -10,24 +10,24 @@
 namespace Jujube
 {
 
-// What a request says of itself, decoded from its head. The texts point into the head.
+// The attributes of a request, decoded from its head. The texts point into the head.
 struct RequestAttributes {
     std::string_view id;
     std::string_view host;
     // Without the query.
     std::string_view path;
     std::string_view key;
-    // How long the caller waits.
+    // How long the caller waits for the response.
     std::optional<std::chrono::milliseconds> timeLeft;
     int64_t promptTokens = 0;
-    // Largest and probable number of output tokens; zero if unknown.
+    // Maximum and probable number of output tokens; zero if unknown.
     int64_t maxTokens = 0;
     int64_t lengthHint = 0;
 };
 
-// A request as judged by the document, and what that means for the decisions that follow. Points into the route table.
+// The result of checking a request against the document, with everything that later decisions need. Points into the route table.
 struct RequestAdmission {
-    // Why the request is refused. What comes after the reason is not filled in then.
+    // Why the request is rejected. If set, the fields that are determined after the failed check are not set.
     std::optional<RelayOutcome> rejection;
     const RelayRoute *route = nullptr;
     const RelayService *service = nullptr;
@@ -35,11 +35,11 @@
     const RelayWorkspace *workspace = nullptr;
     std::optional<std::vector<std::string>> homeRegions;
     RunDemand demand;
-    // When the caller must have its final answer.
+    // When the caller must have its final response.
     MonotonicTime deadline;
 };
 
-// Judges a request by the document in force. `routes` is null while there is none; `draw` is uniform in [0, 1).
+// Checks a request against the document in force. `routes` is null while there is none; `draw` is uniform in [0, 1).
 RequestAdmission admitRequest(const RouteTable *routes, const RequestAttributes &attributes, double draw, MonotonicTime now);
 
 } // namespace Jujube
--- a/Libraries/LibRelay/RelayDocument.h
+++ b/Libraries/LibRelay/RelayDocument.h
@@ -12,17 +12,17 @@
 
 // What may be done with a request of a route when its outcome is unknown.
 enum class RouteKind : uint8_t {
-    // May run any number of times.
+    // The request may run any number of times.
     Repeatable,
-    // Must run at most once.
+    // The request must run at most once.
     OneTime,
-    // A series of events. Must run at most once, unless the route can be resumed.
+    // The response is a stream of events. The request must run at most once, unless the route is resumable.
     Stream,
 };
 
 std::string_view nameOf(RouteKind kind);
 
-// A part of a route's requests that goes to one service.
+// The part of a route's requests that goes to one service.
 struct RouteShare {
     std::string service;
     double weight = 1;
@@ -36,18 +36,18 @@
     RouteKind kind = RouteKind::OneTime;
     // A stream that another target may continue after the last event that was delivered.
     bool resumable = false;
-    // Longest time until the final answer.
+    // Maximum time until the final response.
     std::chrono::milliseconds timeout {30000};
-    // Time within which the answer, or the first event, earns its full worth.
+    // Time within which the response, or the first event of a stream, has its full value.
     std::chrono::milliseconds latencyGoal {1000};
-    // Longest pause between events for which a stream is on time. Zero if none is declared.
+    // Maximum pause between events for which a stream is on time. Zero if none is declared.
     std::chrono::milliseconds eventPauseGoal {0};
-    // Zero is the most important one.
+    // Zero is the highest priority.
     int priority = 0;
     std::vector<RouteShare> shares;
-    // Targets that one request may be run on.
+    // Maximum number of targets on which one request may run.
     int maxAttempts = 1;
-    // Needs no workspace key.
+    // Whether requests need no workspace key.
     bool isPublic = false;
     std::vector<std::string> homeRegions;
 };
@@ -55,20 +55,20 @@
 // Properties of a service whose targets are model engines.
 struct EngineProfile {
     int slots = 1;
-    // Cache memory of one engine in tokens.
+    // KV cache capacity of one engine, in tokens.
     int64_t memoryTokens = 0;
     int64_t bytesPerToken = 0;
     double linkMbps = 0;
-    // Whether running generations can be copied to another engine.
+    // Whether running generations can be migrated to another engine.
     bool canMigrate = false;
-    // Whether an engine keeps a copy of a running generation on another engine.
+    // Whether an engine can keep a backup of a running generation on another engine.
     bool canBackUp = false;
     // Tokens in one event of a stream.
     int tokensPerEvent = 1;
-    // How long a copy waits to be used.
+    // How long an engine keeps a copy that is not used.
     std::chrono::milliseconds copyLifetime {5000};
 
-    // Time in which an engine's link sends the memory of so many tokens, in seconds. The link must have a rate.
+    // Time in which an engine's link transfers the KV cache of so many tokens, in seconds. The link must have a rate.
     double secondsToSend(int64_t tokens) const
     {
         constexpr double BitsPerByte = 8;
@@ -82,7 +82,7 @@
     std::string healthPath;
     // Connections that one target accepts from all callers together.
     int maxConnections = 0;
-    // Requests per second that a cold target bears from all gateways together. Zero if the service has no cold limit.
+    // Requests per second that a cold target can serve for all relays together. Zero if the service has no cold limit.
     double coldPerSecond = 0;
     std::optional<EngineProfile> engine;
 };
@@ -94,7 +94,7 @@
     std::vector<std::string> homeRegions;
 };
 
-// The relayed routes of an environment with everything that decides about them. Versions only grow.
+// The relayed routes of an environment with the services, workspaces and limits that apply to them. Versions only grow.
 struct RelayDocument {
     int64_t version = 0;
     std::vector<RelayRoute> routes;
--- a/Libraries/LibRelay/RelayOutcome.h
+++ b/Libraries/LibRelay/RelayOutcome.h
@@ -6,39 +6,39 @@
 namespace Jujube
 {
 
-// The closed list of ways in which a request ends without a whole answer of a target.
+// All outcomes in which a request ends without a complete response of a target.
 enum class RelayOutcome {
-    // The gateway has no document in force.
+    // The relay has no document in force.
     NoDocument,
     NoRoute,
     UnknownKey,
     Malformed,
-    // No target may take the request now.
+    // No target may get the request now.
     NoTarget,
-    // The gateway shuts down before the request could end.
+    // The relay shuts down before the request could end.
     Draining,
     // The request crashes the targets that run it.
     PoisonRequest,
     // The retry budget is spent, and the request has not run.
     RetryBudgetSpent,
-    // The time is over; nothing was sent, or every target said that it had not run the request.
+    // The deadline has passed; nothing was sent, or every target reported that it had not run the request.
     TimedOutNotRun,
-    // The time is over, and the request may have run.
+    // The deadline has passed, and the request may have run.
     TimedOut,
     // The target failed, and the request may have run.
     TargetFailed,
-    // The answer broke off after the caller had a part of it.
+    // The response broke off after the caller had received a part of it.
     ResponseBroken,
 };
 
-// What the caller is told for an outcome.
+// The response that the caller gets for an outcome.
 struct RelayOutcomeInfo {
     RelayOutcome outcome;
     std::string_view name;
-    // Zero where no answer can be sent any more and the channel is closed.
+    // Zero if no response can be sent any more and the connection is closed.
     int status;
     RanState ran;
-    // Whether the answer says when to come back.
+    // Whether the response has a Retry-After header field.
     bool hasRetryAfter;
 };
 
--- a/Libraries/LibRelay/RelaySession.cpp
+++ b/Libraries/LibRelay/RelaySession.cpp
@@ -10,13 +10,13 @@
 constexpr int FirstRedirect = 300;
 constexpr int FirstSuccess = 200;
 
-// Targets that may refuse one request before the gateway gives up. Refusals are not runs, but each counts against the retry budget.
+// Rejections of one request after which the relay gives up. A rejection is not a run, but each retry after one counts against the retry budget.
 constexpr int MaxRejections = 3;
-// Targets that may turn out to be unreachable before the gateway gives up. They cost no budget, only time.
+// Unreachable targets after which the relay gives up on a request. Retries after them take no budget, only time.
 constexpr int MaxUnreachableTargets = 8;
-// An answer that is not a stream is held back up to this size, so that one that breaks can still be replaced.
+// A response that is not a stream is buffered up to this size, so that one that breaks can still be replaced.
 constexpr size_t MaxBufferedResponseBytes = 64 * 1024;
-// A retry is not worth its send with less time left than this.
+// A request is not retried with less time left than this.
 constexpr std::chrono::milliseconds MinTimeForRetry {60};
 
 bool isSuccess(int status)
@@ -80,12 +80,12 @@
         return false;
     }
     m_mayHaveRun = true;
-    // A success without the target's mark is not the target's whole answer.
+    // A success without the target's seal is not the target's complete response.
     if (!answer.sealed && (isSuccess(answer.status) || m_isContinuation)) {
         onFailure(ExchangeResult::Broken, false, now);
         return false;
     }
-    // Bytes of another format must not follow the events that the caller has.
+    // Bytes of another format must not follow the events that the caller has received.
     if (m_isContinuation && (!isSuccess(answer.status) || (m_request.kind == RouteKind::Stream && !answer.isStream))) {
         onFailure(ExchangeResult::Broken, false, now);
         return false;
@@ -144,12 +144,12 @@
         return;
     }
     if (m_events.isTooLong()) {
-        m_hooks.record("abort", "event without end");
+        m_hooks.record("abort", "event exceeds the size limit");
         m_hooks.abortAttempt();
         onFailure(ExchangeResult::Broken, false, now);
         return;
     }
-    // The copy of a generation that has just produced its first event can start now.
+    // The generation has just produced its first event, so its copy can start now.
     if (m_isTargetLeaving && m_migration == Migration::None && !hadEvents && m_events.count() > 0 && !m_backup) {
         startMigration(now);
     }
@@ -179,7 +179,7 @@
             complete();
             return;
         }
-        // The source closes its stream when it stops; the answer to the order follows.
+        // The source closes its stream when it stops; the response to the copy order follows.
         m_target.reset();
         return;
     }
@@ -201,14 +201,14 @@
         if (continueAtSource(now)) {
             return;
         }
-        // The run has not begun at this target, and no copy has grown with it.
+        // The run has not begun at this target, so there is no backup of it.
         m_backup.reset();
     }
     if (result == ExchangeResult::NotSent || notRun) {
         ++(notRun ? m_rejections : m_unreachable);
         if (m_isContinuation) {
-            // The copy is gone or its holder is; the source has stopped.
-            if (!continueFromBackup(now) && !(m_request.resumable && tryRetry("continuation refused", true, now))) {
+            // Either the copy no longer exists or the engine that holds it is gone; the source has stopped.
+            if (!continueFromBackup(now) && !(m_request.resumable && tryRetry("continuation rejected", true, now))) {
                 fail(RelayOutcome::TargetFailed, {});
             }
             return;
@@ -228,7 +228,7 @@
         return;
     }
     const bool mayRunAgain = m_request.isRepeatable() && m_runs < m_request.maxAttempts && (!m_hasBegun || m_request.resumable);
-    if (mayRunAgain && tryRetry("broken answer", true, now)) {
+    if (mayRunAgain && tryRetry("broken response", true, now)) {
         return;
     }
     fail(RelayOutcome::TargetFailed, {});
@@ -239,7 +239,7 @@
     if (m_request.deadline - now < MinTimeForRetry) {
         return false;
     }
-    // The answer at hand is given up only for a target that can take the request.
+    // The current response is discarded only if another target can take the request.
     const auto choice = m_hooks.choose(m_excluded, now);
     if (!choice.target) {
         m_retryAfter = choice.retryAfter;
@@ -310,7 +310,7 @@
         return;
     }
     m_isTargetLeaving = true;
-    // A copy that has grown with the generation takes over when the target is gone, and needs nothing of the link that others wait for.
+    // A backup takes over when the target is gone, and needs no transfer on the link, for which others wait.
     if (m_migration == Migration::None && m_events.count() > 0 && !m_backup) {
         startMigration(now);
     }
@@ -365,7 +365,7 @@
         return;
     }
     m_copyHandle = m_source.address + "/" + result.handle;
-    // The source keeps the memory of a run that it has stopped.
+    // The source keeps the KV cache of a run that it has stopped.
     if (isKeptAtSource || !m_hooks.mayContinue(m_destination, now)) {
         m_destination = m_source;
     }
@@ -386,7 +386,7 @@
     if (m_isOver) {
         return;
     }
-    // A send whose answer has not arrived may have been run.
+    // The target may have run an attempt whose response has not arrived.
     const bool mayHaveRun = m_mayHaveRun || (m_target && !m_hasBegun);
     fail(mayHaveRun ? RelayOutcome::TimedOut : RelayOutcome::TimedOutNotRun, std::chrono::milliseconds(300));
 }
--- a/Libraries/LibRelay/RelaySession.h
+++ b/Libraries/LibRelay/RelaySession.h
@@ -26,15 +26,15 @@
     }
 };
 
-// What a session needs to know about its request.
+// The properties of a request on which the decisions of its session depend.
 struct RequestProperties {
-    // By which engines name a copy of the generation that has grown with it.
+    // Engines use this id as the name of the generation's backup.
     std::string id;
     RouteKind kind = RouteKind::OneTime;
-    // Only for streams: another target may continue after the last event, reading everything anew.
+    // Only for streams: another target may continue after the last event, by processing the whole prompt again.
     bool resumable = false;
     int maxAttempts = 1;
-    // When the caller must have its final answer.
+    // When the caller must have its final response.
     MonotonicTime deadline;
 
     // Whether the request may run again when its outcome is unknown.
@@ -44,17 +44,17 @@
     }
 };
 
-// One send of the request to a target.
+// One attempt to have a target serve the request.
 struct RelayAttempt {
     RelayTarget target;
-    // First send of the request, or a further one that counts against the retry budget.
+    // One for the first attempt; further ones may count against the retry budget.
     int attempt = 1;
     std::chrono::milliseconds timeLeft {0};
-    // A stream goes on after this event.
+    // The stream continues after this event.
     std::optional<int64_t> lastEventId;
-    // Where the memory of the running generation comes from: the address of an engine and the name of the copy. Empty for a run from the start.
+    // Where the KV cache of the running generation is copied from: the address of an engine and the name of the copy. Empty for a run from the start.
     std::string kvCacheSource;
-    // An engine that keeps a copy of the generation as it grows. Nothing for none.
+    // The engine that keeps a backup of the generation. Nothing for none.
     std::optional<RelayTarget> backup;
 };
 
@@ -65,18 +65,18 @@
     std::chrono::milliseconds retryAfter {500};
 };
 
-// The answer to an order to copy a running generation to another engine.
+// The response to an order to copy a running generation to another engine.
 struct CopyResult {
     enum class Kind {
-        // The copy is complete. If the order was to stop the run as well, it has stopped.
+        // The copy is complete. If the order was also to stop the run, it has stopped.
         Copied,
         // The engine does not run the generation (yet).
         NotRunning,
         // A copy of the generation is in progress already.
         Busy,
-        // The destination has no room or cannot be reached. If the run was to stop, it has stopped, and its memory stays at the source.
+        // The destination has no capacity or cannot be reached. If the run was to stop, it has stopped, and its KV cache stays at the source.
         DestinationUnavailable,
-        // No answer; the run may have stopped.
+        // No response; the run may have stopped.
         Unknown,
     };
     Kind kind = Kind::Unknown;
@@ -84,62 +84,62 @@
     int64_t eventsProduced = 0;
 };
 
-// The head of a target's answer, as far as decisions depend on it.
+// The parts of a target's response head on which decisions depend.
 struct TargetResponse {
     int status = 0;
-    // The target says that it did not run the request.
+    // Whether the target reports that it did not run the request.
     bool notRun = false;
-    // Another target has the address now.
+    // Whether another target has the address now.
     bool misdirected = false;
-    // The answer bears the mark of a target's own answer.
+    // Whether the response has the seal that marks it as the target's own.
     bool sealed = false;
     bool isStream = false;
-    // The target says that it leaves.
+    // Whether the target reports that it is leaving.
     bool leaving = false;
-    // The target turned the request away and wants nothing from this relay for so long.
+    // The cooldown that the target asked for when it rejected the request.
     std::optional<std::chrono::milliseconds> cooldown;
     // Length of the body, if the target has declared it.
     std::optional<uint64_t> length;
 };
 
-// How an exchange with a target ended, for the session.
+// How an exchange with a target ended.
 enum class ExchangeResult {
     Complete,
     NotSent,
     Broken,
 };
 
-// Decides how one request of a caller gets its final answer, although targets and connections fail. A state machine without input and output of its own: the
-// driver calls its functions and carries out what the hooks are told. At most one exchange with a target is current.
+// Decides how one request of a caller gets its final response despite failures of targets and connections. A state machine without input and output of its own:
+// the driver calls its functions and implements the hooks. At most one exchange with a target is active at a time.
 class RelaySession
 {
 public:
     struct Hooks {
         // Chooses a target. `excluded` are targets that must not be chosen.
         std::function<TargetChoice(const std::set<std::string> &excluded, MonotonicTime now)> choose;
-        // Chooses an engine that keeps a copy of the generation as it grows on its target. Nothing if none is worth its memory.
+        // Chooses an engine that keeps a backup of the generation on the target. Nothing if no engine is worth the memory that it takes.
         std::function<std::optional<RelayTarget>(const RelayTarget &target, MonotonicTime now)> chooseBackup;
-        // Chooses the destination of a move away from a target that leaves.
+        // Chooses the destination of a migration from a target that is leaving.
         std::function<std::optional<RelayTarget>(const std::set<std::string> &excluded, MonotonicTime now)> chooseDestination;
-        // Whether a generation may go on at the target that holds its memory: the target's data centre is in service, the target does not want to be left
-        // alone, and the generation does not crash its targets.
+        // Whether a generation may be continued at the target that holds its KV cache: the target's data centre is in service, the target has no cooldown, and
+        // the generation is not a poison request.
         std::function<bool(const RelayTarget &target, MonotonicTime now)> mayContinue;
-        // Takes one retry out of the budget of the service.
+        // Takes one retry from the budget of the service. Returns false if none is left.
         std::function<bool(MonotonicTime now)> tryTakeRetry;
         std::function<void(const RelayAttempt &send)> send;
         // Ends the current exchange with a target by closing its connection.
         std::function<void()> abortAttempt;
-        // Orders the engine that runs the generation to copy it; answered with onCopied().
+        // Orders the engine that runs the generation to copy it; the result is passed to onCopied().
         std::function<void(const RelayTarget &source, const RelayTarget &destination, bool stop)> copy;
-        // Passes the head of the target's current answer on to the caller. Without a length the body follows in chunks.
+        // Passes the head of the target's current response on to the caller. Without a length the body follows in chunks.
         std::function<void(std::optional<uint64_t> length)> beginResponse;
         std::function<void(std::string_view bytes)> write;
         std::function<void()> finishResponse;
-        // Ends the request with an answer of the gateway's own.
+        // Ends the request with a response of the relay's own.
         std::function<void(RelayOutcome outcome, std::chrono::milliseconds retryAfter)> answer;
-        // Closes the caller's channel: the answer has begun and cannot be completed.
+        // Closes the caller's connection, because the response has begun and cannot be completed.
         std::function<void(RelayOutcome outcome)> cut;
-        // For the log: what was decided and why.
+        // Logs a decision and its reason.
         std::function<void(std::string_view decision, std::string_view reason)> record;
     };
 
@@ -147,15 +147,15 @@
 
     void start(MonotonicTime now);
 
-    // The head of an answer to the current send. Returns false if the answer is not to be read any further; the driver then closes the connection.
+    // The head of a response to the current attempt. Returns false if the response is not to be read any further; the driver then closes the connection.
     bool onHead(const TargetResponse &answer, MonotonicTime now);
     void onBody(std::string_view bytes, MonotonicTime now);
     void onEnd(ExchangeResult result, MonotonicTime now);
 
-    // The target that runs the request leaves, and the request may be copied to another one now. May be called again after a copy that failed.
+    // The target that runs the request is leaving, and the request may be migrated to another one now. May be called again after a failed copy.
     void onTargetLeaving(MonotonicTime now);
     void onCopied(const CopyResult &result, MonotonicTime now);
-    // The engine that keeps a copy as the generation grows is not to be relied on any more.
+    // The backup must not be relied on any more.
     void onBackupLost();
     const std::optional<RelayTarget> &backup() const
     {
@@ -164,7 +164,7 @@
 
     void onDeadline(MonotonicTime now);
     void onCallerDisconnected();
-    // The stream has been silent for longer than a healthy target's would be.
+    // The stream has had no event for longer than that of a healthy target would.
     void onStreamTimeout(MonotonicTime now);
 
     bool isOver() const
@@ -182,13 +182,13 @@
         return m_events.count();
     }
 
-    // Whether a copy of the generation is being made.
+    // Whether a migration is in progress.
     bool isMigrating() const
     {
         return m_migration != Migration::None;
     }
 
-    // Whether a generation that was moved has been sent to its destination, and the destination has not answered.
+    // Whether a migrated generation has been sent to its destination, and the destination has not responded.
     bool isAwaitingMigratedRun() const;
 
     int attemptCount() const
@@ -199,9 +199,9 @@
 private:
     enum class Migration {
         None,
-        // The run goes on while its memory is copied.
+        // The run continues while its KV cache is copied.
         Copying,
-        // The run has been told to stop, and the rest of its memory is copied.
+        // The run was ordered to stop, and the rest of its KV cache is copied.
         Stopping,
         // The copy is complete; the source's stream is read to its end.
         Draining,
@@ -209,16 +209,17 @@
 
     void startRun(MonotonicTime now);
     void send(const RelayTarget &target, const std::string &kvCacheSource, MonotonicTime now);
-    // Handles an exchange that produced no usable answer.
+    // Handles an exchange that produced no usable response.
     void onFailure(ExchangeResult result, bool notRun, MonotonicTime now);
-    // Sends the request to another target if time and, unless the last one was never reached, the budget allow it.
+    // Sends the request to another target if there is enough time and, with `countsAgainstBudget`, if the budget allows it.
     bool tryRetry(std::string_view reason, bool countsAgainstBudget, MonotonicTime now);
     bool continueFromBackup(MonotonicTime now);
-    // After a move whose destination has not begun: the source keeps the memory of a generation that it stopped, until its copy is used.
+    // Continues at the source of a migration whose destination has not begun: the source keeps the KV cache of a generation that it stopped, until its copy is
+    // used.
     bool continueAtSource(MonotonicTime now);
     void continueAt(const RelayTarget &target, const std::string &kvCacheSource, MonotonicTime now);
     void startMigration(MonotonicTime now);
-    // Ends the request with an answer of the gateway's own, or cuts the answer if it has begun.
+    // Ends the request with a response of the relay's own, or cuts the response if it has begun.
     void fail(RelayOutcome outcome, std::chrono::milliseconds retryAfter);
     void ensureResponseBegun(std::optional<uint64_t> length);
     void writeEvents(std::string_view bytes);
@@ -230,19 +231,19 @@
     std::optional<RelayTarget> m_backup;
     std::set<std::string> m_excluded;
     EventSplitter m_events;
-    // Body bytes of an answer that is not a stream, held back until the answer is whole.
+    // Body bytes of a response that is not a stream, buffered until the response is complete.
     std::string m_bufferedBody;
     TargetResponse m_response;
-    // An answer to the current send has been accepted.
+    // Whether a response to the current attempt has been accepted.
     bool m_isResponseAccepted = false;
-    // The caller has the head of an answer.
+    // Whether the caller has received the head of a response.
     bool m_hasBegun = false;
-    // When a refused request may come back, by the last choice that found no target.
+    // Retry-After time of a rejection, from the last choice that found no target.
     std::chrono::milliseconds m_retryAfter {300};
-    // A byte of the request may have reached a target that did not deny having run it.
+    // Whether a byte of the request may have reached a target that did not report that it had not run it.
     bool m_mayHaveRun = false;
     bool m_isOver = false;
-    // The exchange continues a generation whose head the caller has already.
+    // Whether the exchange continues a generation whose response head the caller has already received.
     bool m_isContinuation = false;
     int m_attempts = 0;
     int m_runs = 0;
--- a/Libraries/LibRelay/RelayShare.h
+++ b/Libraries/LibRelay/RelayShare.h
@@ -5,8 +5,8 @@
 namespace Jujube
 {
 
-// One gateway's share of a bound that all gateways keep to together without talk. It counts one gateway more than is seen, because views lag when one starts or
-// returns.
+// One relay's share of a limit that all relays keep together without coordination. It assumes one relay more than is visible, because membership views lag
+// behind when a relay starts or returns.
 inline double relayShare(double bound, int liveRelays)
 {
     return bound / (std::max(1, liveRelays) + 1);
--- a/Libraries/LibRelay/RouteTable.h
+++ b/Libraries/LibRelay/RouteTable.h
@@ -8,7 +8,7 @@
 namespace Jujube
 {
 
-// A document in force, indexed for lookups. Immutable; requests in progress keep the table that they were accepted under.
+// A document in force, indexed for lookups. Immutable; a request in progress keeps the table with which it was accepted.
 class RouteTable
 {
 public:
--- a/Libraries/LibRelay/StoreReaderElection.h
+++ b/Libraries/LibRelay/StoreReaderElection.h
@@ -8,17 +8,17 @@
 namespace Jujube
 {
 
-// Decides whether this relay reads the store's tables or leaves that to others, which tell it of changes. Each read has a price, and every relay would read
-// the same. Relays that hear each other agree on a few readers without a vote: a reader with enough reading peers of smaller names stops, and a relay that
-// hears too few readers becomes one after a random delay. Where a cut separates relays, each side gets readers of its own.
+// Decides whether this relay reads the store's tables or leaves that to others, which notify it of changes. Each read has a cost, and all relays would read the
+// same. Relays that reach each other agree on a few readers without a vote: a reader stops when enough peers with smaller names are reading, and a relay that
+// sees too few readers becomes one after a random delay. When the network is partitioned, each side elects its own readers.
 class StoreReaderElection
 {
 public:
     struct Options {
         std::string node;
-        // Relays that read at the same time, so that the loss of one goes unnoticed.
+        // Number of relays that read at the same time, so that the loss of one has no effect.
         int readers = 2;
-        // Random delay before a relay becomes a reader, for each live relay.
+        // Maximum random delay before a relay becomes a reader, for each live relay.
         std::chrono::milliseconds startDelayPerRelay {30};
     };
 
--- a/Libraries/LibRelay/TargetBalancer.cpp
+++ b/Libraries/LibRelay/TargetBalancer.cpp
@@ -12,30 +12,30 @@
 namespace
 {
 
-// Targets that a placement looks at in a large fleet.
+// Maximum number of targets that a placement examines in a large fleet.
 constexpr size_t MaxCandidates = 64;
 // Weight of one result in the failure share of a target.
 constexpr double ResultWeight = 0.25;
-// Time in which a failure share without new results halves.
+// Half-life of a failure share without new results.
 constexpr double FailureHalfLifeSeconds = 3;
-// Cost of a target all of whose recent requests failed, in milliseconds.
+// Cost of a target whose recent requests have all failed, in milliseconds.
 constexpr double FailingTargetCost = 1500;
-// Cost of a target that could not be connected to; it is chosen if there is no other one.
+// Cost of a target to which connections failed, in milliseconds; it is chosen only if there is no other one.
 constexpr double UnreachableTargetCost = 5000;
-// Doublings of the time for which such a target is avoided.
+// Maximum number of times that the avoidance time of such a target doubles.
 constexpr int MaxAvoidanceDoublings = 4;
-// Mean time of a call to a plain service, in milliseconds; the cost of waiting for one slot.
+// Mean duration of a call to a plain service, in milliseconds; it is the cost of waiting for one slot.
 constexpr double MeanServiceCallMs = 60;
-// Cost of one running call on a plain service that has free slots.
+// Cost of one running call on a plain service that has free slots, in milliseconds.
 constexpr double RunningCallCost = 6;
-// Weight of the fixed order in which a leaving target's generations choose their destinations, in milliseconds.
+// Weight of the order, agreed on by all relays, in which the generations of a leaving target choose their destinations, in milliseconds.
 constexpr double DestinationOrderCost = 120;
-// Cost of a destination that serves another leaving target first, in milliseconds.
+// Cost of a destination that another leaving target prefers more, in milliseconds.
 constexpr double ContendedDestinationCost = 200;
-// Tokens by which a run that has outgrown its expected length is expected to grow further.
+// Tokens that a run is expected to produce in addition once it has exceeded its expected length.
 constexpr int64_t OverrunTokens = 200;
 
-// A number between 0 and 1 that all gateways agree on for a pair of targets (rendezvous hashing, Thaler and Ravishankar, 1998).
+// A number between 0 and 1 on which all relays agree for a pair of targets (rendezvous hashing, Thaler and Ravishankar, 1998).
 double rendezvousScore(const std::string &source, const std::string &destination)
 {
     const auto text = source + ' ' + destination;
@@ -354,7 +354,7 @@
 {
     const auto &id = target.entry.id;
     const auto health = m_health.find(id);
-    // A target that could not be reached may have started again.
+    // An unreachable target may have been restarted.
     const bool mayBeCold = now < target.coldUntil || (health != m_health.end() && health->second.unreachableStreak > 0);
     const int share = mayBeCold ? ColdTargetRateLimiter::coldShare(service.coldPerSecond, query.coldRateParticipants, id)
                                 : ColdTargetRateLimiter::share(service.coldPerSecond, query.liveRelays);
@@ -368,13 +368,13 @@
     Choice best;
     double bestCost = 0;
     const auto &all = targets.ofService(service.name);
-    // The best of a sample is nearly as good as the best of all, and its cost does not grow with the fleet.
+    // The best target of a sample is nearly as good as the best of all, and the cost of a sample does not grow with the fleet.
     const size_t sample = std::min(all.size(), MaxCandidates);
     const size_t first = all.size() > sample ? draws.next() % all.size() : 0;
     for (size_t index = 0; index < all.size() && (index < sample || !best.target); ++index) {
         const auto &target = *all[(first + index) % all.size()];
         ++best.candidates;
-        // A target that this request has tried counts as well: the time at which it takes work again is what the caller needs to know.
+        // Targets that this request has already tried are included: the caller needs to know when the first target accepts work again.
         const auto cooldownUntil = targets.isUsable(target, now) ? m_cooldowns.until(target.entry.id, now) : std::nullopt;
         if (cooldownUntil) {
             best.cooldownUntil = std::min(best.cooldownUntil.value_or(*cooldownUntil), *cooldownUntil);
--- a/Libraries/LibRelay/TargetBalancer.h
+++ b/Libraries/LibRelay/TargetBalancer.h
@@ -16,28 +16,28 @@
 namespace Jujube
 {
 
-// What a request will need of its target.
+// What a request needs of its target.
 struct RunDemand {
     std::string service;
     // Zero for requests that are not generations.
     int64_t promptTokens = 0;
-    // Output length as far as it is known, in tokens.
+    // Expected output length in tokens.
     int64_t expectedTokens = 0;
     int priority = 0;
-    // Is copied to another engine when its engine leaves.
+    // Whether the run is migrated when its engine is leaving.
     bool isMigratable = false;
 };
 
 enum class RunEnd {
     Finished,
-    // The target refused or lost the request, or answered with an error of its own.
+    // The target rejected or lost the request, or responded with an error of its own.
     Failed,
-    // Nothing is known against the target.
+    // The target is not to blame.
     Cancelled,
 };
 
-// Chooses targets by what this gateway and, by their latest heartbeats, the others have placed on them. Pure decisions: the caller passes the time and random
-// numbers.
+// Chooses targets by the load that this relay and, according to their latest heartbeats, its peers have placed on them. The decisions are pure functions of the
+// state: the caller passes the time and random numbers.
 class TargetBalancer
 {
 public:
@@ -47,23 +47,24 @@
         std::map<std::string, std::string> regions;
         // Extra cost of another region, in milliseconds.
         double otherRegionCost = 16;
-        // Further cost of another region in fleets whose relays tell loads across regions with a delay: many may choose the same target there.
+        // Further cost of another region in fleets whose relays report loads across regions with a delay, because many relays may choose the same target there,
+        // in milliseconds. It applies to fleets of more than `maxRelaysWithPromptLoads` relays.
         double delayedLoadCost = 90;
         int maxRelaysWithPromptLoads = 12;
-        // Prompt tokens that an engine reads in a millisecond beside the running generations, with which the prompt's chunks take turns.
+        // Prompt tokens that an engine processes per millisecond beside the running generations, with which the prompt's chunks alternate.
         double prefillTokensPerMs = 7.5;
         // Cost of one more run on an engine, in milliseconds.
         double costPerRun = 6;
-        // Time in which an engine can send its generations away when it leaves, and the cost of each further second that its link would need. Load pattern:
-        // engines leave with a notice of 1.5 to 2 s, of which the news takes a part; generations that the link cannot send by then are lost.
+        // Time in which an engine can transfer its generations when it is leaving, and the cost of each further second that its link would need. Engines leave
+        // with a notice of 1.5 to 2 s, of which the notification takes a part; generations that the link cannot transfer by then are lost.
         std::chrono::milliseconds timeToSend {700};
         double sendCostPerSecond = 250;
-        // Part of an engine's memory above which a further run costs more, as memory may run out.
+        // Fraction of an engine's KV cache capacity above which a further run costs more, because the memory may run out.
         double memoryThreshold = 0.85;
         double memoryPressureCost = 6000;
-        // Random spread that keeps gateways with the same view from choosing the same target, in milliseconds.
+        // Maximum random cost that keeps relays with the same view from choosing the same target, in milliseconds.
         double costJitter = 12;
-        // A target that failed to connect is avoided for this time, and for twice as long after each further failure, up to the longest.
+        // A target to which a connection failed is avoided for this time, and for twice as long after each further failure, up to the maximum.
         std::chrono::milliseconds unreachableTime {1500};
         std::chrono::milliseconds maxUnreachableTime {12000};
         TargetCooldowns::Options cooldowns;
@@ -76,25 +77,25 @@
         std::optional<std::vector<std::string>> homeRegions;
         int liveRelays = 1;
         ColdRateParticipants coldRateParticipants;
-        // For a copy of a running generation: no run is started, so the cold rate does not apply.
+        // For the copy of a running generation: no run is started, so the cold rate limit does not apply.
         bool isMigration = false;
-        // The target that the generation leaves. Copies from different targets go to different ones where there is room, because copies to one target queue
+        // The source of a migration. Copies from different sources go to different destinations where there is capacity, because copies to one target queue
         // behind each other on its link.
         std::string source;
-        // Other targets that leave at the same time. Load pattern: a sixth of the engines leaves at once, and copies that meet at one link make each other
-        // late. Each destination serves one of the sources first, on which all gateways agree.
+        // Other targets that are leaving at the same time. A sixth of the engines may leave at once, and copies that share a destination's link delay each
+        // other. Each destination therefore prefers one of the sources, on which all relays agree.
         std::vector<std::string> otherSources;
         // Only targets of this data centre. Empty for any.
         std::string dataCentre;
-        // Only targets in which the run fits below this part of the memory.
+        // Only targets on which the run fits below this fraction of the KV cache capacity.
         std::optional<double> maxMemoryShare;
     };
 
     struct Choice {
         const KnownTarget *target = nullptr;
-        // Targets that were looked at: all of the service, or a sample of a large fleet.
+        // Number of targets that were examined: all of the service, or a sample of a large fleet.
         int candidates = 0;
-        // The first of them that asked to be left alone may get work again then.
+        // When the first cooldown of the examined targets ends. Nothing if none has a cooldown.
         std::optional<MonotonicTime> cooldownUntil;
     };
 
@@ -102,24 +103,24 @@
 
     Choice choose(const Query &query, const TargetTable &targets, const RelayService &service, MonotonicTime now, uint64_t random) const;
 
-    // Bookkeeping of this gateway's own runs.
+    // Updates for this relay's own runs.
     void onRunStarted(const std::string &request, const std::string &target, const RunDemand &demand, MonotonicTime now);
     void onTokensProduced(const std::string &request, int64_t tokens);
     void onRunEnded(const std::string &request, RunEnd end, MonotonicTime now);
     void markUnreachable(const std::string &target, MonotonicTime now);
-    // The target answers, or another one has its name now.
+    // The target responds, or another one has its id now.
     void markReachable(const std::string &target);
-    // A send of a request that goes on elsewhere got no usable answer.
+    // An attempt got no usable response, and the request continues elsewhere.
     void onAttemptFailed(const std::string &target, MonotonicTime now);
-    // Targets that asked this gateway to be left alone for a while.
+    // Targets that asked this relay for a cooldown.
     TargetCooldowns &cooldowns()
     {
         return m_cooldowns;
     }
-    // A copy of a run's memory that is kept on a target.
+    // A copy of a run's KV cache that is kept on a target.
     void setCopy(const std::string &request, const std::string &target, int64_t tokens);
     void dropCopy(const std::string &request);
-    // A copy that grows with the run. While there is one, nothing has to be copied when the run's target leaves.
+    // A backup of a run. A run that has one needs no copy when its target is leaving.
     void setBackup(const std::string &request, const std::string &target, int64_t tokens);
     void dropBackup(const std::string &request);
 
@@ -128,10 +129,10 @@
 
     std::vector<TargetLoad> ownLoads() const;
     TargetLoad ownLoad(const std::string &target) const;
-    // What one other gateway has placed, on all targets and on one.
+    // The load that one peer has placed, on all targets and on one.
     std::vector<TargetLoad> peerLoads(const std::string &peer) const;
     TargetLoad peerLoad(const std::string &peer, const std::string &target) const;
-    // Length that a run has produced so far, in tokens.
+    // Number of tokens that a run has produced so far.
     int64_t producedTokens(const std::string &request) const;
     TargetLoad loadOf(const std::string &target) const;
     double failureShare(const std::string &target, MonotonicTime now) const;
@@ -151,15 +152,15 @@
         double failures = 0;
         MonotonicTime updated;
         MonotonicTime unreachableUntil;
-        // Connections that failed in a row, not counting those that failed while the target was avoided.
+        // Number of failed connections in a row, not counting those that failed while the target was avoided.
         int unreachableStreak = 0;
     };
 
     static TargetLoad loadOf(const Run &run);
-    // What placing a run on a target would cost, in milliseconds. Nothing if it may not be placed there.
+    // Cost of placing a run on a target, in milliseconds. Nothing if it must not be placed there.
     std::optional<double>
     costOf(const KnownTarget &target, const Query &query, const TargetTable &targets, const RelayService &service, MonotonicTime now) const;
-    // Whether the target's cold rate allows another run of this gateway.
+    // Whether the rate limit of the target allows another run of this relay.
     bool mayStart(const KnownTarget &target, const Query &query, const RelayService &service, MonotonicTime now) const;
     double engineCost(const TargetLoad &load, const EngineProfile &engine, const RunDemand &demand) const;
     double serviceCost(const TargetLoad &load, int slots) const;
@@ -173,7 +174,7 @@
 
     const Options m_options;
     absl::flat_hash_map<std::string, Run> m_runs;
-    // Copies of generations' memory, by request.
+    // Copies of the KV caches of generations, by request.
     absl::flat_hash_map<std::string, TargetLoad> m_copies;
     Loads m_ownLoads;
     absl::flat_hash_map<std::string, std::vector<TargetLoad>> m_peerLoads;
--- a/Libraries/LibRelay/TargetCooldowns.h
+++ b/Libraries/LibRelay/TargetCooldowns.h
@@ -8,32 +8,32 @@
 namespace Jujube
 {
 
-// Targets that have turned a request of this relay away and have said when to come back (RFC 9110, section 10.2.3). Until then they get no new run from this
-// relay. The wish holds for the relay that was told, so others are not told of it.
+// Cooldowns of targets that have rejected a request of this relay with a Retry-After header field (RFC 9110, section 10.2.3). Until its cooldown ends, a target
+// gets no new run from this relay. The cooldown applies only to the relay that received it, so it is not sent to peers.
 class TargetCooldowns
 {
 public:
     struct Options {
-        // Longest time for which a target is left alone, however long it asks for.
+        // Maximum cooldown, however long a target asks for.
         std::chrono::milliseconds maxCooldown {60000};
-        // Sends that a target gets all the same, because the memory of a running generation lies there and nowhere else.
+        // Continuations that a target gets during its cooldown, because the KV cache of a running generation exists only there.
         int maxContinuations = 1;
     };
 
     explicit TargetCooldowns(Options options);
 
-    // A target has asked to be left alone. The later end holds if it has asked before.
+    // Starts or extends a cooldown. The later end applies if the target already has one.
     void record(const std::string &target, std::chrono::milliseconds time, MonotonicTime now);
 
-    // Until when a target is to be left alone. Nothing if it may get work.
+    // When the cooldown of a target ends. Nothing if it may get work.
     std::optional<MonotonicTime> until(const std::string &target, MonotonicTime now) const;
 
-    // Whether a running generation may go on at a target.
+    // Whether a running generation may be continued at a target.
     bool mayContinue(const std::string &target, MonotonicTime now) const;
-    // A running generation is sent to a target.
+    // Records that a running generation was sent to a target.
     void recordContinuation(const std::string &target);
 
-    // Another target has the name now.
+    // Removes the cooldown, because another target has the id now.
     void forget(const std::string &target);
     void expire(MonotonicTime now);
 
--- a/Libraries/LibRelay/TargetLoad.h
+++ b/Libraries/LibRelay/TargetLoad.h
@@ -6,18 +6,18 @@
 namespace Jujube
 {
 
-// What one gateway has placed on one target.
+// The load that one relay has placed on one target.
 struct TargetLoad {
     std::string target;
     int running = 0;
-    // Cache memory that the runs will need at their end, in tokens.
+    // KV cache size that the runs will need at their end, in tokens.
     int64_t memory = 0;
     // Prompt tokens of runs that have not produced anything yet.
     int64_t prefill = 0;
-    // Memory that generations hold that would have to be copied if the target left, in tokens.
+    // KV cache size of the generations that would have to be copied if the target left, in tokens.
     int64_t movable = 0;
 
-    // Adds a load, or takes it away again with a sign of -1.
+    // Adds a load, or subtracts it with a sign of -1.
     void add(const TargetLoad &other, int sign = 1)
     {
         running += sign * other.running;
--- a/Libraries/LibRelay/TargetTable.cpp
+++ b/Libraries/LibRelay/TargetTable.cpp
@@ -35,7 +35,7 @@
 {
     if (!target.entry.reportedLeaving) {
         target.entry.reportedLeaving = true;
-        // The others learn of it, also if the list has called the target leaving already.
+        // Peers are notified also if the list has already marked the target as leaving.
         recordChange(target, now, source);
     }
     return markLeaving(target, now, source);
@@ -78,7 +78,7 @@
         return markLeaving(target, now, source);
     }
     if (target.leavingSince) {
-        // The entry had lapsed and is back.
+        // The entry had expired and has been registered again.
         target.leavingSince.reset();
         recordChange(target, now, source);
     }
--- a/Libraries/LibRelay/TargetTable.h
+++ b/Libraries/LibRelay/TargetTable.h
@@ -11,10 +11,10 @@
 namespace Jujube
 {
 
-// What the list of targets says about one target.
+// The entry of one target in the target list.
 struct TargetEntry {
     std::string id;
-    // Start of the target's present lifetime, in milliseconds since 1970 by its own clock. A target that starts again under its id has a higher one.
+    // Start of the target's current lifetime, in milliseconds since 1970 by its own clock. A target that restarts under the same id has a higher one.
     int64_t incarnation = 0;
     std::string service;
     // "address:port".
@@ -22,75 +22,76 @@
     std::string dataCentre;
     int slots = 1;
     bool leaving = false;
-    // The target itself has said that it leaves. This holds for the rest of its lifetime, whatever later entries say.
+    // Whether the target itself has reported that it is leaving. This holds for the rest of its lifetime, whatever later entries contain.
     bool reportedLeaving = false;
-    // How long the target stays cold, from when the entry was written.
+    // How long the target stays cold, counted from when the entry was written.
     std::chrono::milliseconds coldLeft {0};
     // The store's version of the entry.
     int64_t version = 0;
 };
 
-// One target as this gateway knows it.
+// One target as this relay knows it.
 struct KnownTarget {
     TargetEntry entry;
     MonotonicTime coldUntil;
-    // When the target's entry disappeared from the list or began to say that it leaves.
+    // When the target's entry disappeared from the list or was first marked as leaving.
     std::optional<MonotonicTime> leavingSince;
-    // The entry lapsed while the list was out of reach, and the target may register again until this time.
+    // Set if the entry expired while the store was unavailable: the target may register again until this time.
     std::optional<MonotonicTime> reregistrationDeadline;
-    // When this gateway learnt at first hand what others may not know yet: a new target, a new address, or that the target leaves.
+    // When this relay last received, from the store or the target itself, a change that peers may not know yet: a new target, a new address, or that the target
+    // is leaving.
     MonotonicTime changedAt;
 };
 
-// The targets by their list in the store. Entries that disappear mean that a target leaves; it serves what it runs for some time still.
+// The targets of the list in the store. A target whose entry disappears is leaving; it serves its current runs for some time.
 class TargetTable
 {
 public:
     struct Options {
-        // A target whose entry lapsed while the store was away registers again within this time of the store's return.
+        // A target whose entry expired while the store was unavailable registers again within this time after the store's return.
         std::chrono::milliseconds reregistrationGrace {2000};
         // For this time after the return of a data centre its targets may be cold, although their entries do not say so yet.
         std::chrono::milliseconds coldAfterReturn {3000};
-        // Longest notice with which targets leave while their generations are being copied.
+        // Maximum notice with which targets leave while their generations are being copied.
         std::chrono::milliseconds leavingNotice {2500};
         // Targets that left are forgotten after this time.
         std::chrono::seconds retention {20};
-        // Targets that said themselves that they leave are kept longer, so that no late entry brings them back.
+        // Targets that reported themselves that they are leaving are kept longer, so that no late entry restores them.
         std::chrono::seconds reportedLeavingRetention {300};
     };
 
     explicit TargetTable(Options options);
 
-    // Who has told of an entry.
+    // Where an entry comes from.
     enum class Source {
         // The list in the store, or the target itself.
         Direct,
-        // Another gateway, which tells all others itself.
+        // A peer, which notifies all others itself.
         Peer,
     };
 
-    // Takes in an entry. An older one than the known one has no effect. Returns whether a target became leaving by it.
+    // Adds or updates an entry. One that is older than the known one has no effect. Returns whether the target began to leave by it.
     bool set(const TargetEntry &entry, MonotonicTime now, Source source = Source::Direct);
 
-    // The entry has disappeared as of a version of the store. `afterOutage` tells that the list was out of reach until now, so that the entry may only have
-    // lapsed. Returns whether a target became leaving by it.
+    // Removes an entry that has disappeared as of a version of the store. `afterOutage` means that the list was unavailable until now, so that the entry may
+    // only have expired. Returns whether the target began to leave by it.
     bool remove(const std::string &id, bool afterOutage, int64_t version, MonotonicTime now);
 
-    // Targets that changed within the given time, as far as this gateway knows it at first hand, for other gateways.
+    // Targets that changed within the given time according to the store or themselves, to be sent to peers.
     std::vector<TargetEntry> recentChanges(std::chrono::milliseconds within, MonotonicTime now) const;
 
     std::vector<TargetEntry> allEntries() const;
 
-    // Digest of the targets that neither leave nor have lapsed. Two gateways with the same digest know the same targets.
+    // Digest of the targets that are neither leaving nor expired. Two relays with the same digest know the same targets.
     uint64_t digest() const;
 
-    // The target itself says that it leaves. Returns whether it became leaving by that.
+    // Records that the target itself has reported that it is leaving. Returns whether it began to leave by that.
     bool recordLeaving(const std::string &id, int64_t incarnation, MonotonicTime now);
 
-    // Lets grace periods run out. Returns the targets that became leaving.
+    // Ends grace periods that are over. Returns the targets that began to leave.
     std::vector<std::string> tick(MonotonicTime now);
 
-    // Takes a data centre out of service, or back. Returns whether that is a change.
+    // Takes a data centre out of service or back into service. Returns whether that is a change.
     bool setDataCentreOut(const std::string &name, bool isOut, MonotonicTime now);
     const absl::flat_hash_set<std::string> &dataCentresOut() const
     {
@@ -100,13 +101,13 @@
 
     const KnownTarget *find(std::string_view id) const;
 
-    // Whether the target is known, and leaves.
+    // Whether the target is known and leaving.
     bool isLeaving(std::string_view id) const;
 
     // Whether the target may get new requests.
     bool isUsable(const KnownTarget &target, MonotonicTime now) const;
 
-    // Targets of a service that have begun to leave within the notice that targets usually give.
+    // Targets of a service that began to leave within the notice that targets usually give.
     std::vector<std::string> recentlyLeaving(const std::string &service, MonotonicTime now) const;
 
     const absl::flat_hash_map<std::string, KnownTarget> &targets() const
@@ -133,9 +134,9 @@
     const Options m_options;
     absl::flat_hash_map<std::string, KnownTarget> m_targets;
     absl::flat_hash_set<std::string> m_dataCentresOut;
-    // Every heartbeat of a peer asks for the digest; it is computed when a target has changed.
+    // Every heartbeat of a peer needs the digest, so it is computed only when a target has changed.
     mutable std::optional<uint64_t> m_digest;
-    // Made for the first placement after a target came, went or changed its service.
+    // Index that is rebuilt for the first placement after a target was added, removed or changed its service.
     mutable std::optional<TargetsByService> m_byService;
 };
 
