--- a/Tests/LibRelay/SessionHarness.cpp
+++ b/Tests/LibRelay/SessionHarness.cpp
@@ -14,7 +14,7 @@
                                      TargetChoice choice;
                                      if (targetsLeft > 0) {
                                          --targetsLeft;
-                                         const auto id = "t" + std::to_string(sends.size() + excluded.size());
+                                         const auto id = "t" + std::to_string(attempts.size() + excluded.size());
                                          choice.target = RelayTarget {.id = id, .incarnation = 1, .address = id + ":1"};
                                      }
                                      return choice;
@@ -30,15 +30,15 @@
                                      lastExcluded = excluded;
                                      return hasDestination ? std::optional(RelayTarget {.id = "d", .incarnation = 1, .address = "d:1"}) : std::nullopt;
                                  },
-                             .mayContinue = [this](const RelayTarget &target, MonotonicTime) { return !refusesContinuation.contains(target.id); },
+                             .mayContinue = [this](const RelayTarget &target, MonotonicTime) { return !continuationExcluded.contains(target.id); },
                              .tryTakeRetry = [this](MonotonicTime) { return retriesLeft-- > 0; },
-                             .send = [this](const RelayAttempt &send) { sends.push_back(send); },
+                             .send = [this](const RelayAttempt &send) { attempts.push_back(send); },
                              .abortAttempt = [this] { ++aborts; },
-                             .copy = [this](const RelayTarget &, const RelayTarget &, bool stop) { copies.push_back(stop); },
+                             .copy = [this](const RelayTarget &, const RelayTarget &, bool stop) { copyOrders.push_back(stop); },
                              .beginResponse = [this](std::optional<uint64_t>) { ++begun; },
                              .write = [this](std::string_view bytes) { received += bytes; },
                              .finishResponse = [this] { ++finished; },
-                             .answer = [this](RelayOutcome outcome, std::chrono::milliseconds) { answers.push_back(outcome); },
+                             .answer = [this](RelayOutcome outcome, std::chrono::milliseconds) { ownResponses.push_back(outcome); },
                              .cut = [this](RelayOutcome) { ++cuts; },
                              .record = [](std::string_view, std::string_view) {}});
 }
--- a/Tests/LibRelay/SessionHarness.h
+++ b/Tests/LibRelay/SessionHarness.h
@@ -8,7 +8,7 @@
 namespace Jujube
 {
 
-// Plays the caller, the targets and the policy around one RelaySession, and records what they see.
+// Acts as the caller, the targets and the policy around one RelaySession, and records the calls of its hooks.
 class SessionHarness
 {
 public:
@@ -28,24 +28,24 @@
         m_now += time;
     }
 
-    // Starts the session and has its first target answer with these bytes of a stream.
+    // Starts the session and lets its first target respond with these bytes of a stream.
     void startStream(std::string_view bytes);
 
     // Bytes of the events from first to last.
     static std::string events(int first, int last);
 
-    // Ids of the whole events that the caller has received.
+    // Ids of the complete events that the caller has received.
     std::vector<int> receivedIds() const;
 
-    // A head of a target's own answer.
+    // A response head of a target that has the target's seal.
     static TargetResponse streamHead()
     {
         return {.status = 200, .sealed = true, .isStream = true};
     }
 
-    std::vector<RelayAttempt> sends;
-    std::vector<RelayOutcome> answers;
-    std::vector<bool> copies;
+    std::vector<RelayAttempt> attempts;
+    std::vector<RelayOutcome> ownResponses;
+    std::vector<bool> copyOrders;
     std::string received;
     int begun = 0;
     int finished = 0;
@@ -54,11 +54,11 @@
     int retriesLeft = 100;
     int targetsLeft = 100;
     bool hasDestination = true;
-    // What the last choice of a destination had to leave out.
+    // Targets that were excluded from the last choice of a destination.
     std::set<std::string> lastExcluded;
     std::string backup;
-    // Targets that want no continuation of a generation.
-    std::set<std::string> refusesContinuation;
+    // Targets at which a generation must not be continued.
+    std::set<std::string> continuationExcluded;
 
 private:
     MonotonicTime m_now {std::chrono::hours(1)};
--- a/Tests/LibRelay/TestBudgetsAndMigrations.cpp
+++ b/Tests/LibRelay/TestBudgetsAndMigrations.cpp
@@ -14,9 +14,9 @@
 
 } // namespace
 
-// Load pattern: every request fails, at all gateways. Guards against a storm of retries: in any window they stay below the ratio and the slack, also if each
-// gateway sees one gateway less than there are.
-TEST(ServiceRetryBudget, RetriesOfAllGatewaysStayBelowTheBound)
+// Guards against a retry storm when every request fails at all relays: in any window, retries stay below the ratio plus the slack, also if each relay sees one
+// relay less than there are.
+TEST(ServiceRetryBudget, RetriesOfAllRelaysStayBelowTheLimit)
 {
     const ServiceRetryBudget::Options options {.ratio = 0.2, .slack = 54, .window = 10s};
     for (const int gateways : {1, 2, 7, 77}) {
@@ -43,15 +43,15 @@
     }
 }
 
-// Guards against a gateway that cannot retry at all after a quiet time.
+// Guards against a relay that cannot retry at all after a time without requests.
 TEST(ServiceRetryBudget, SlackAllowsRetriesWithoutRequests)
 {
     ServiceRetryBudget budget({.ratio = 0.2, .slack = 50, .window = 10s});
     EXPECT_TRUE(budget.tryRetry(7, Start));
 }
 
-// Load pattern: an engine with several drafts leaves within two seconds. Guards against copies that queue behind each other on its link.
-TEST(MigrationSchedule, OneGenerationAtATimeTheMostValuableFirst)
+// Guards against copies that queue behind each other on the link of an engine that leaves within two seconds with several drafts.
+TEST(MigrationSchedule, CopiesOneGenerationAtATimeMostValuableFirst)
 {
     MigrationSchedule schedule;
     schedule.addLeavingTarget("t", 0ms, Start);
@@ -62,14 +62,14 @@
     EXPECT_TRUE(schedule.takeDue(Start + 1s).empty());
     schedule.remove("large");
     EXPECT_EQ(schedule.takeDue(Start + 1s), std::vector<std::string> {"medium"});
-    // A generation that ends by itself gives up its place.
+    // A generation that ends by itself leaves the queue.
     schedule.remove("small");
     schedule.remove("medium");
     EXPECT_TRUE(schedule.takeDue(Start + 1s).empty());
 }
 
-// Guards against gateways that order their copies at the same moment.
-TEST(MigrationSchedule, WaitsForTheGatewaysBefore)
+// Guards against relays that order their copies at the same moment.
+TEST(MigrationSchedule, WaitsForTurnsOfEarlierRelays)
 {
     MigrationSchedule schedule;
     schedule.addLeavingTarget("t", 300ms, Start);
@@ -90,8 +90,8 @@
     EXPECT_EQ(schedule.takeDue(Start).size(), 2U);
 }
 
-// Load pattern: rolling restarts while callers keep their channels. Guards against a draft that is accepted seconds before the process is killed.
-TEST(DrainAdmission, RefusesWhatCannotEndInTime)
+// Guards against accepting a draft seconds before the process is killed, as happens in rolling restarts while callers keep their connections.
+TEST(DrainAdmission, RejectsRequestsThatCannotEndInTime)
 {
     const DrainAdmission admission;
     const RunDemand draft {.promptTokens = 3000, .expectedTokens = 900};
--- a/Tests/LibRelay/TestEventSplitter.cpp
+++ b/Tests/LibRelay/TestEventSplitter.cpp
@@ -5,8 +5,8 @@
 
 using namespace Jujube;
 
-// Guards against events that are passed on in part, or differ with the packets they came in.
-TEST(EventSplitter, PassesOnWholeEventsWhateverTheCuts)
+// Guards against events that are passed on in part, or whose output depends on how the stream was split into packets.
+TEST(EventSplitter, PassesOnCompleteEventsForAnyPacketBoundaries)
 {
     const auto text = "event: a\n" + SessionHarness::events(1, 3) + "id: 4\r\ndata: x\r\n\r\n";
     for (unsigned seed = 0; seed < 10000; ++seed) {
@@ -25,8 +25,8 @@
     }
 }
 
-// Guards against a partial event of a lost target that is joined with the bytes of the next one.
-TEST(EventSplitter, RestartDropsThePartialEvent)
+// Guards against joining a partial event of a failed target with the bytes of the next target.
+TEST(EventSplitter, DiscardsPartialEventBeforeContinuation)
 {
     EventSplitter splitter;
     EXPECT_EQ(splitter.feed("id: 1\n\nid: 2\nda"), "id: 1\n\n");
@@ -35,7 +35,7 @@
     EXPECT_FALSE(splitter.isOutOfOrder());
 }
 
-// Guards against an event that comes twice or is skipped.
+// Guards against an event that is repeated or skipped.
 TEST(EventSplitter, ReportsGapsAndRepetitions)
 {
     EventSplitter gap;
@@ -47,7 +47,7 @@
 }
 
 // Guards against memory that grows with an event that never ends.
-TEST(EventSplitter, EventWithoutEndIsNoticed)
+TEST(EventSplitter, DetectsEventAboveSizeLimit)
 {
     EventSplitter splitter;
     splitter.feed("data: ");
--- a/Tests/LibRelay/TestPeers.cpp
+++ b/Tests/LibRelay/TestPeers.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-// Guards against a dead gateway that callers are still sent to.
+// Guards against sending callers to a dead relay.
 TEST(PeerTable, SilentRelayIsNotAlive)
 {
     PeerTable peers({.ownAddress = "me:81", .silenceTimeout = 1600ms}, Start);
@@ -32,7 +32,7 @@
     EXPECT_TRUE(peers.expire(Start + 1700ms).empty());
 }
 
-// Guards against a delayed heartbeat of an earlier process, or an overtaken one, that replaces newer news.
+// Guards against a heartbeat of an earlier process, or an overtaken one, that replaces a newer one.
 TEST(PeerTable, OlderHeartbeatsAreIgnored)
 {
     PeerTable peers({.ownAddress = "me:81"}, Start);
@@ -42,8 +42,8 @@
     EXPECT_EQ(peers.handleHeartbeat(heartbeatMessage("a", 1, 3), Start), PeerTable::Change::None);
 }
 
-// Guards against relays that never meet because a seed was down, and against heartbeats to dead addresses at the full pace.
-TEST(PeerTable, AddressesSpreadAndDeadOnesAreProbedSeldom)
+// Guards against relays that never discover each other because a seed was down, and against heartbeats to dead addresses at the full rate.
+TEST(PeerTable, AddressesSpreadAndDeadOnesAreProbedRarely)
 {
     PeerTable peers({.ownAddress = "me:81", .probeInterval = 2000ms}, Start);
     peers.addAddress("seed:81", Start);
@@ -56,8 +56,8 @@
     EXPECT_EQ(peers.recipients(PeerTable::RecipientScope::OutsideRegion, Start + 200ms), std::vector<std::string> {"a:81"});
 }
 
-// Guards against large fleets in which most relays never hear of each other, because heartbeats name the same few addresses again and again.
-TEST(PeerTable, AllRelaysMeetThroughAFewSeeds)
+// Guards against large fleets in which most relays never discover each other because heartbeats name the same few addresses again and again.
+TEST(PeerTable, AllRelaysDiscoverEachOtherThroughFewSeeds)
 {
     constexpr int Relays = 77;
     std::vector<PeerTable> tables;
@@ -88,7 +88,7 @@
     }
 }
 
-// Guards against news that differ after their way over the network.
+// Guards against heartbeats that change on encoding and decoding.
 TEST(PeerHeartbeatCodec, RoundTrip)
 {
     auto sent = heartbeatMessage("a", 7);
@@ -113,7 +113,7 @@
     EXPECT_EQ(received->crashes[0].members, (std::vector<uint64_t> {1, 2}));
 }
 
-// Guards against datagrams that do not fit a packet, and against leaving targets being dropped before loads.
+// Guards against datagrams that do not fit a packet, and against dropping leaving targets before loads.
 TEST(PeerHeartbeatCodec, FitsADatagram)
 {
     auto large = heartbeatMessage("a", 1);
@@ -130,8 +130,8 @@
     EXPECT_EQ(received->loads[0].running, 299);
 }
 
-// Guards against heartbeats that leave out more than they have to, of a list that matters more than another.
-TEST(PeerHeartbeatCodec, LeavesOutAsLittleAsPossible)
+// Guards against heartbeats that drop more than necessary, or drop entries of a more important list first.
+TEST(PeerHeartbeatCodec, DropsAsLittleAsPossible)
 {
     auto large = heartbeatMessage("a", 1);
     large.known = {"b:81", "c:81"};
@@ -161,7 +161,7 @@
 }
 
 // Guards against damaged datagrams that crash a relay or allocate without bound.
-TEST(PeerHeartbeatCodec, DamagedDatagramsAreRefusedOrRead)
+TEST(PeerHeartbeatCodec, DamagedDatagramsDoNotCrashTheDecoder)
 {
     const auto datagram = encodePeerHeartbeat(heartbeatMessage("a", 1));
     for (unsigned seed = 0; seed < 10000; ++seed) {
@@ -179,7 +179,7 @@
 namespace
 {
 
-// Relays that hear each other's choice with the next round, except across a cut.
+// Relays that see each other's choice in the next round, except across a network partition.
 struct Fleet {
     explicit Fleet(int size)
     {
@@ -188,7 +188,7 @@
             elections.emplace_back(StoreReaderElection::Options {.node = names.back()});
         }
         reading.assign(names.size(), false);
-        side.assign(names.size(), 0);
+        partition.assign(names.size(), 0);
         dead.assign(names.size(), false);
     }
 
@@ -201,9 +201,9 @@
                 std::vector<std::string> readers;
                 int live = 0;
                 for (size_t peer = 0; peer < names.size(); ++peer) {
-                    const bool hears = !dead[peer] && side[peer] == side[own];
-                    live += hears ? 1 : 0;
-                    if (peer != own && hears && heard[peer]) {
+                    const bool isReachable = !dead[peer] && partition[peer] == partition[own];
+                    live += isReachable ? 1 : 0;
+                    if (peer != own && isReachable && heard[peer]) {
                         readers.push_back(names[peer]);
                     }
                 }
@@ -216,7 +216,7 @@
     {
         int count = 0;
         for (size_t index = 0; index < names.size(); ++index) {
-            count += reading[index] && side[index] == which ? 1 : 0;
+            count += reading[index] && partition[index] == which ? 1 : 0;
         }
         return count;
     }
@@ -224,7 +224,7 @@
     std::vector<std::string> names;
     std::vector<StoreReaderElection> elections;
     std::vector<bool> reading;
-    std::vector<int> side;
+    std::vector<int> partition;
     std::vector<bool> dead;
     MonotonicTime now = Start;
     std::mt19937 random {1};
@@ -232,8 +232,8 @@
 
 } // namespace
 
-// Guards against a store that every relay reads, or none.
-TEST(StoreReaderElection, FewRelaysRead)
+// Guards against a store that is read by every relay, or by none.
+TEST(StoreReaderElection, ElectsFewReaders)
 {
     for (const int size : {1, 2, 3, 7, 77}) {
         Fleet fleet(size);
@@ -242,8 +242,8 @@
     }
 }
 
-// Guards against relays that learn nothing any more after the readers have died or were cut off.
-TEST(StoreReaderElection, OthersTakeOver)
+// Guards against relays that get no more changes after the readers have died or were disconnected.
+TEST(StoreReaderElection, ReplacesLostReaders)
 {
     Fleet fleet(7);
     fleet.run(3s);
@@ -253,16 +253,16 @@
     fleet.run(3s);
     EXPECT_EQ(fleet.readerCountOn(0), 2);
     for (size_t index = 0; index < fleet.names.size(); ++index) {
-        fleet.side[index] = fleet.reading[index] ? 0 : 1;
+        fleet.partition[index] = fleet.reading[index] ? 0 : 1;
     }
     fleet.run(3s);
     EXPECT_EQ(fleet.readerCountOn(1), 2);
-    fleet.side.assign(fleet.names.size(), 0);
+    fleet.partition.assign(fleet.names.size(), 0);
     fleet.run(3s);
     EXPECT_EQ(fleet.readerCountOn(0), 2);
 }
 
-// Guards against heartbeats that go to the wrong half of the fleet: both together reach every live relay once.
+// Guards against heartbeats to the wrong part of the fleet: both recipient scopes together contain every live relay once.
 TEST(PeerTable, RecipientsAreSplitByRegion)
 {
     PeerTable peers({.ownAddress = "me:81", .region = "punjab", .regions = {{"lahore", "punjab"}, {"karachi", "sindh"}}}, Start);
@@ -277,8 +277,8 @@
     EXPECT_EQ(peers.livePeersInRegion(Start)[0]->heartbeatMessage.node, "near");
 }
 
-// Guards against a region that nobody speaks for once its speaker is gone, or two do: the first by name of the live relays of the region does.
-TEST(PeerTable, OneRelaySpeaksForItsRegion)
+// Guards against a region without a representative after the former one is gone, or with two: the first live relay of the region by name is the representative.
+TEST(PeerTable, EachRegionHasOneRepresentative)
 {
     PeerTable peers({.ownAddress = "me:81", .region = "punjab", .regions = {{"lahore", "punjab"}, {"karachi", "sindh"}}, .silenceTimeout = 1600ms}, Start);
     EXPECT_TRUE(peers.isRegionRepresentative("me", Start));
@@ -293,8 +293,8 @@
     EXPECT_TRUE(peers.isRegionRepresentative("me", Start + 1600ms));
 }
 
-// Guards against heartbeats between regions that outweigh the answers: 30 relays, each with a part of the load of 16 targets and a draft on one of them.
-TEST(RegionLoads, OtherRegionsHearSumsFromOneRelay)
+// Guards against heartbeats between regions that exceed the response traffic: 30 relays, each with a part of the load of 16 targets and a draft on one of them.
+TEST(RegionLoads, OneRelayReportsSumsToOtherRegions)
 {
     constexpr int Relays = 30;
     constexpr int Targets = 16;
@@ -303,39 +303,39 @@
     for (int index = 0; index < Targets; ++index) {
         own.push_back({.target = "t" + std::to_string(index), .running = 1, .memory = 4000, .prefill = 100, .movable = index == 0 ? 3000 : 0});
     }
-    const auto quiet = loadsForOtherRegions(own, std::nullopt);
-    ASSERT_EQ(quiet.size(), 1U);
-    EXPECT_EQ(quiet[0].target, "t0");
-    EXPECT_EQ(quiet[0].movable, 3000);
-    EXPECT_EQ(quiet[0].memory, 0);
-    const auto spoken = loadsForOtherRegions(own, std::vector<std::vector<TargetLoad>>(Relays - 1, own));
-    ASSERT_EQ(spoken.size(), static_cast<size_t>(Targets));
-    for (const auto &load : spoken) {
+    const auto withoutRegionLoads = loadsForOtherRegions(own, std::nullopt);
+    ASSERT_EQ(withoutRegionLoads.size(), 1U);
+    EXPECT_EQ(withoutRegionLoads[0].target, "t0");
+    EXPECT_EQ(withoutRegionLoads[0].movable, 3000);
+    EXPECT_EQ(withoutRegionLoads[0].memory, 0);
+    const auto regionSums = loadsForOtherRegions(own, std::vector<std::vector<TargetLoad>>(Relays - 1, own));
+    ASSERT_EQ(regionSums.size(), static_cast<size_t>(Targets));
+    for (const auto &load : regionSums) {
         EXPECT_EQ(load.memory, int64_t(4000) * Relays);
-        // What others have to copy is told by themselves.
+        // What other relays have to copy is reported by themselves.
         EXPECT_EQ(load.movable, load.target == "t0" ? 3000 : 0);
     }
-    // What all relays of the region tell another one in a round, against whole heartbeats.
+    // Bytes that all relays of the region send to another one in a round, compared with complete heartbeats.
     const auto bytes = [&](const std::vector<TargetLoad> &loads) {
         auto heartbeat = heartbeatMessage("edge-lahore-a-1", 1);
         heartbeat.loads = loads;
         return encodePeerHeartbeat(heartbeat).size();
     };
-    EXPECT_LT(bytes(quiet) * (Relays - 1) + bytes(spoken), bytes(own) * Relays / 3);
+    EXPECT_LT(bytes(withoutRegionLoads) * (Relays - 1) + bytes(regionSums), bytes(own) * Relays / 3);
 }
 
-// Guards against relays that repeat to all others at once what they have all been told: with 30 relays in a region and 20 new targets that was 18,000
-// heartbeats.
-TEST(NotificationScope, WhatPeersToldIsNotRepeatedAtOnce)
+// Guards against relays that at once forward to all others what all of them have already received: with 30 relays in a region and 20 new targets that took
+// 18,000 heartbeats.
+TEST(NotificationScope, ChangesFromPeersAreNotForwardedAtOnce)
 {
     EXPECT_EQ(notificationScopeForTarget(true, false, false), NotificationScope::None);
     EXPECT_EQ(notificationScopeForTarget(true, true, false), NotificationScope::None);
     EXPECT_EQ(notificationScopeForTarget(false, false, false), NotificationScope::All);
-    // Others wait for this relay's turn to copy.
+    // Other relays wait for this relay's turn to copy.
     EXPECT_EQ(notificationScopeForTarget(true, true, true), NotificationScope::All);
 }
 
-// Guards against a relay that is cut off from the others and takes their shares of cold targets as its own.
+// Guards against a disconnected relay that takes its peers' shares of cold targets as its own.
 TEST(PeerTable, SilentRelaysKeepTheirShareOfColdTargets)
 {
     PeerTable peers({.ownAddress = "me:81", .ownName = "me"}, Start);
@@ -350,16 +350,16 @@
     EXPECT_TRUE(peers.coldRateParticipants(Start + 40s).others.empty());
 }
 
-// Load pattern: 195 relays, whose heartbeats to other regions are far apart. Guards against relays that count as dead between two of them, and against relays
-// that count as alive for long after their end.
-TEST(PeerTable, AnnouncedPausesCountForSilence)
+// Guards against relays that count as dead between two heartbeats, and against relays that count as alive for long after their end. In a fleet of 195 relays,
+// heartbeats to other regions are far apart.
+TEST(PeerTable, AnnouncedHeartbeatIntervalExtendsSilenceTimeout)
 {
     PeerTable peers({.ownAddress = "me:81", .silenceTimeout = 2500ms}, Start);
-    auto seldom = heartbeatMessage("seldom", 1);
-    seldom.heartbeatInterval = 2400ms;
+    auto rare = heartbeatMessage("seldom", 1);
+    rare.heartbeatInterval = 2400ms;
     auto never = heartbeatMessage("never", 1);
     never.heartbeatInterval = 100s;
-    peers.handleHeartbeat(seldom, Start);
+    peers.handleHeartbeat(rare, Start);
     peers.handleHeartbeat(never, Start);
     peers.handleHeartbeat(heartbeatMessage("often", 1), Start);
     EXPECT_EQ(peers.expire(Start + 2600ms), std::vector<std::string> {"often"});
@@ -367,7 +367,7 @@
     EXPECT_EQ(peers.livePeers(Start + 6100ms).size(), 0U);
 }
 
-// Guards against short messages that replace what a relay is known for, or bring a dead one back.
+// Guards against messages with loads only that replace other data of a relay, or mark a dead one as alive.
 TEST(PeerTable, MessagesWithLoadsOnlyChangeNothingElse)
 {
     PeerTable peers({.ownAddress = "me:81"}, Start);
@@ -385,9 +385,9 @@
     EXPECT_TRUE(peers.livePeers(Start + 10s).empty());
 }
 
-// Load pattern: a sixth of the engines leaves every three seconds, and others come. Guards against each of some hundred relays repeating in each heartbeat what
-// the relays that read the list tell all others.
-TEST(TargetTable, NewsOfPeersIsNotRepeated)
+// Guards against each of some hundred relays repeating in each heartbeat what the relays that read the list send to all others. A sixth of the engines leaves
+// every three seconds, and others are added.
+TEST(TargetTable, ChangesFromPeersAreNotRepeated)
 {
     TargetTable targets({});
     TargetEntry entry {.id = "t", .incarnation = 1, .service = "s", .address = "10.0.0.1:80", .version = 1};
--- a/Tests/LibRelay/TestRelayAdmission.cpp
+++ b/Tests/LibRelay/TestRelayAdmission.cpp
@@ -46,8 +46,8 @@
 
 } // namespace
 
-// Guards against a refusal for another reason than the true one, above all 404 and 401 from a node that knows no document yet.
-TEST(RelayAdmission, RefusesForTheTrueReason)
+// Guards against a rejection with the wrong reason, above all 404 and 401 from a relay that has no document yet.
+TEST(RelayAdmission, RejectsWithTheCorrectReason)
 {
     EXPECT_EQ(admitRequest(nullptr, DefaultAttributes, 0.5, Start).rejection, RelayOutcome::NoDocument);
     EXPECT_EQ(admit(attributesWith("/other/x")).rejection, RelayOutcome::NoRoute);
@@ -59,8 +59,8 @@
     EXPECT_EQ(admit(withoutId).rejection, RelayOutcome::Malformed);
 }
 
-// Guards against callers without a key who pass as the workspace that an empty key was written for.
-TEST(RelayAdmission, EmptyKeyOpensNothing)
+// Guards against callers without a key that are treated as the workspace for which an empty key was written.
+TEST(RelayAdmission, EmptyKeyMatchesNoWorkspace)
 {
     EXPECT_EQ(admit(attributesWith("/draft/x", "")).rejection, RelayOutcome::UnknownKey);
     const auto open = admit(attributesWith("/open/x", ""));
@@ -68,8 +68,8 @@
     EXPECT_EQ(open.workspace, nullptr);
 }
 
-// Guards against deadlines beyond the caller's or the route's, and against homes and priorities of which one does not bind.
-TEST(RelayAdmission, DocumentAndCallerBothBind)
+// Guards against deadlines beyond the caller's or the route's, and against home regions or priorities of which one is ignored.
+TEST(RelayAdmission, LimitsOfDocumentAndCallerBothApply)
 {
     const auto draft = admit(DefaultAttributes);
     ASSERT_FALSE(draft.rejection);
@@ -81,8 +81,8 @@
     EXPECT_EQ(admit(hurried).deadline, Start + 500ms);
 }
 
-// Guards against placements by the wrong size, and against moves of streams that are repeated instead.
-TEST(RelayAdmission, DemandFollowsTheClaims)
+// Guards against placements by the wrong size, and against migrations of streams that are run again instead.
+TEST(RelayAdmission, DemandFollowsTheRequestAttributes)
 {
     const auto draft = admit(DefaultAttributes).demand;
     EXPECT_EQ(draft.promptTokens, 3000);
@@ -90,7 +90,7 @@
     EXPECT_TRUE(draft.isMigratable);
     EXPECT_FALSE(admit(attributesWith("/hint/x")).demand.isMigratable);
     EXPECT_EQ(admit(attributesWith("/open/x")).demand.promptTokens, 0);
-    auto hintAboveMost = DefaultAttributes;
-    hintAboveMost.lengthHint = 5000;
-    EXPECT_EQ(admit(hintAboveMost).demand.expectedTokens, 2000);
+    auto hintAboveMax = DefaultAttributes;
+    hintAboveMax.lengthHint = 5000;
+    EXPECT_EQ(admit(hintAboveMax).demand.expectedTokens, 2000);
 }
--- a/Tests/LibRelay/TestRouteTable.cpp
+++ b/Tests/LibRelay/TestRouteTable.cpp
@@ -31,8 +31,8 @@
     EXPECT_EQ(routes.findRoute("unknown", "/a/"), nullptr);
 }
 
-// Guards against a key that opens another workspace or none.
-TEST(RouteTable, KeysNameTheirWorkspace)
+// Guards against a key that selects another workspace or none.
+TEST(RouteTable, KeysSelectTheirWorkspace)
 {
     const auto routes = table();
     EXPECT_EQ(routes.findWorkspaceByKey("k2")->name, "w");
@@ -40,7 +40,7 @@
     EXPECT_EQ(routes.findWorkspaceByKey(""), nullptr);
 }
 
-// Guards against a split that sends a service more or less than its share.
+// Guards against a service that gets more or less than its share.
 TEST(RouteTable, SharesFollowTheirWeights)
 {
     const RelayRoute route {.shares = {{.service = "a", .weight = 90}, {.service = "b", .weight = 10}}};
@@ -50,8 +50,8 @@
     EXPECT_EQ(RouteTable::pickService(route, 0.9999), "b");
 }
 
-// Guards against a request that leaves its homes because its route and its workspace have different ones, or none in common.
-TEST(RouteTable, HomesOfRouteAndWorkspaceBothBind)
+// Guards against a request that leaves its home regions because its route and its workspace have different ones, or none in common.
+TEST(RouteTable, HomeRegionsOfRouteAndWorkspaceBothApply)
 {
     const RelayRoute anywhere;
     const RelayRoute sindh {.homeRegions = {"sindh"}};
--- a/Tests/LibRelay/TestTargetBalancer.cpp
+++ b/Tests/LibRelay/TestTargetBalancer.cpp
@@ -21,7 +21,7 @@
     return TargetBalancer({.region = "punjab", .regions = {{"lahore", "punjab"}, {"karachi", "sindh"}}, .costJitter = costJitter});
 }
 
-std::string chosen(const TargetBalancer &balancer, const TargetTable &targets, const RelayService &service, const TargetBalancer::Query &query)
+std::string chosenTarget(const TargetBalancer &balancer, const TargetTable &targets, const RelayService &service, const TargetBalancer::Query &query)
 {
     const auto choice = balancer.choose(query, targets, service, Start, 1);
     return choice.target ? choice.target->entry.id : "";
@@ -29,22 +29,22 @@
 
 } // namespace
 
-// Load pattern: long prompts arrive at several gateways at once. Guards against an engine that reads several of them while others read none.
-TEST(TargetBalancer, PromptsBeingReadElsewhereCount)
+// Guards against one engine that processes several long prompts of different relays while others process none.
+TEST(TargetBalancer, PromptsOfPeersCountAsLoad)
 {
     TargetTable targets({});
     targets.set(entry("a"), Start);
     targets.set(entry("b"), Start);
     auto balancer = makeBalancer();
     balancer.setPeerLoads("peer", {{.target = "a", .running = 1, .memory = 3000, .prefill = 3000}});
-    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000}}), "b");
+    EXPECT_EQ(chosenTarget(balancer, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000}}), "b");
     balancer.dropPeer("peer");
     balancer.onRunStarted("r", "b", {.service = "s", .promptTokens = 3000, .expectedTokens = 100}, Start);
-    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000}}), "a");
+    EXPECT_EQ(chosenTarget(balancer, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000}}), "a");
 }
 
-// Guards against sums of peers' loads that drift while heartbeats replace each other.
-TEST(TargetBalancer, LoadsOfPeersAreTheirLatest)
+// Guards against sums of peer loads that drift while heartbeats replace each other.
+TEST(TargetBalancer, PeerLoadsAreTheLatestOnes)
 {
     auto balancer = makeBalancer();
     std::mt19937 random(1);
@@ -79,7 +79,7 @@
     }
 }
 
-// Load pattern: an engine is nearly full of generations that still grow. Guards against a placement that makes it run out of memory.
+// Guards against a placement that makes an engine run out of memory that is nearly full of generations which still grow.
 TEST(TargetBalancer, NearlyFullEngineIsAvoided)
 {
     TargetTable targets({});
@@ -87,11 +87,11 @@
     targets.set(entry("b"), Start);
     auto balancer = makeBalancer();
     balancer.setPeerLoads("peer", {{.target = "a", .running = 7, .memory = 28000}, {.target = "b", .running = 12, .memory = 12000}});
-    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000, .expectedTokens = 1000}}), "b");
+    EXPECT_EQ(chosenTarget(balancer, targets, engineService(), {.demand = {.service = "s", .promptTokens = 3000, .expectedTokens = 1000}}), "b");
 }
 
 // Guards against requests that leave their home region.
-TEST(TargetBalancer, HomeRegionsBind)
+TEST(TargetBalancer, HomeRegionsAreKept)
 {
     TargetTable targets({});
     auto far = entry("far");
@@ -99,12 +99,12 @@
     targets.set(far, Start);
     targets.set(entry("near"), Start);
     const auto balancer = makeBalancer();
-    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"sindh"}}), "far");
-    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"elsewhere"}}), "");
-    EXPECT_EQ(chosen(balancer, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {}}), "");
+    EXPECT_EQ(chosenTarget(balancer, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"sindh"}}), "far");
+    EXPECT_EQ(chosenTarget(balancer, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {"elsewhere"}}), "");
+    EXPECT_EQ(chosenTarget(balancer, targets, engineService(), {.demand = {.service = "s"}, .homeRegions = std::vector<std::string> {}}), "");
 }
 
-// Load pattern: a target fails part of its requests while it reports itself healthy. Guards against sending it the same share as before.
+// Guards against sending the usual share of requests to a target that fails part of them while it reports itself healthy.
 TEST(TargetBalancer, FailingTargetIsAvoidedForAWhile)
 {
     TargetTable targets({});
@@ -114,12 +114,11 @@
     balancer.onRunStarted("r", "a", {.service = "s"}, Start);
     balancer.onRunEnded("r", RunEnd::Failed, Start);
     const RelayService desk {.name = "s"};
-    EXPECT_EQ(chosen(balancer, targets, desk, {.demand = {.service = "s"}}), "b");
+    EXPECT_EQ(chosenTarget(balancer, targets, desk, {.demand = {.service = "s"}}), "b");
     EXPECT_LT(balancer.failureShare("a", Start + 20s), 0.01);
 }
 
-// Load pattern: the list of targets is out of reach and a target has crashed. Guards against requests that try it again and again, and against a target that
-// is never tried again.
+// Guards against trying a crashed target again and again while the target list is unavailable, and against never trying it again.
 TEST(TargetBalancer, UnreachableTargetIsAvoidedLongerEachTime)
 {
     TargetTable targets({});
@@ -141,7 +140,7 @@
     EXPECT_TRUE(isChosen(Start + 60s));
 }
 
-// Guards against bookkeeping that drifts: after all runs have ended, no load is left.
+// Guards against load sums that drift: after all runs have ended, no load is left.
 TEST(TargetBalancer, LoadsReturnToZero)
 {
     auto balancer = makeBalancer();
@@ -174,9 +173,9 @@
     EXPECT_TRUE(balancer.ownLoads().empty());
 }
 
-// Load pattern: all gateways return after an outage and meet cold targets. Guards against more requests in a second than a cold target bears, over all
-// gateways, also if each sees one gateway less than there are.
-TEST(ColdTargetRateLimiter, AllGatewaysTogetherKeepToTheBound)
+// Guards against more requests per second than a cold target can serve when all relays return after an outage, also if each relay sees one relay less than
+// there are.
+TEST(ColdTargetRateLimiter, AllRelaysTogetherKeepTheLimit)
 {
     constexpr double ColdPerSecond = 41;
     constexpr double Overrun = 1.5;
@@ -202,7 +201,7 @@
     }
 }
 
-// Guards against a placement that looks at every target of a large fleet, and against one that looks at too few to even out their loads.
+// Guards against a placement that examines every target of a large fleet, and against one that examines too few to balance their loads.
 TEST(TargetBalancer, LargeFleetsAreSampled)
 {
     constexpr int Targets = 2800;
@@ -228,7 +227,7 @@
     EXPECT_LE(most, 6);
 }
 
-// Guards against a request that is refused because the few targets that it may use are not in the sample.
+// Guards against rejecting a request because the few targets that it may use are not in the sample.
 TEST(TargetBalancer, SampleWithoutAUsableTargetIsExtended)
 {
     constexpr int Targets = 2800;
@@ -248,8 +247,8 @@
     }
 }
 
-// Guards against a target that asked to be left alone and gets work from the same relay all the same, and against refusals that name an earlier time.
-TEST(TargetBalancer, QuietTargetGetsNoWork)
+// Guards against sending work to a target that asked this relay for a cooldown, and against rejections with an earlier retry time.
+TEST(TargetBalancer, TargetWithACooldownGetsNoWork)
 {
     TargetTable targets({});
     targets.set(entry("a"), Start);
@@ -267,8 +266,8 @@
     EXPECT_TRUE(balancer.cooldowns().mayContinue("a", Start + 2100ms));
 }
 
-// Guards against a target that is never used again because of an absurd time.
-TEST(TargetCooldowns, TimesAreBounded)
+// Guards against a target that is never used again because of an excessive Retry-After time.
+TEST(TargetCooldowns, CooldownIsBounded)
 {
     TargetCooldowns cooldowns({.maxCooldown = 10s});
     cooldowns.record("a", std::chrono::hours(24), Start);
@@ -279,9 +278,9 @@
     EXPECT_FALSE(cooldowns.until("b", Start));
 }
 
-// Load pattern: one engine returns cold and is the cheapest for each of 400 relays, which start as much there as they may. Views differ: each relay has lost up
-// to half of the others lately, some relays have just started, and some are cut off and hear nobody.
-TEST(ColdTargetRateLimiter, ColdTargetsKeepToTheBoundInLargeFleets)
+// Guards against overloading a cold engine that is the cheapest for each of 400 relays, which start as many requests there as they may. Membership views
+// differ: each relay has lost up to half of the others recently, some relays have just started, and some are disconnected from all others.
+TEST(ColdTargetRateLimiter, LimitIsKeptInLargeFleets)
 {
     constexpr double ColdPerSecond = 19;
     // The users' bound on starts within a second.
@@ -297,7 +296,7 @@
             const auto target = "engine-" + std::to_string(seed);
             int starts = 0;
             for (size_t self = 0; self < alive; ++self) {
-                // All relays that are alive are known; of those that have gone, only some are remembered.
+                // All live relays are known; of those that are gone, only some are remembered.
                 std::vector<uint64_t> others;
                 for (size_t other = 0; other < relays; ++other) {
                     if (other != self && (other < alive || random() % 2 == 0)) {
@@ -316,9 +315,9 @@
     }
 }
 
-// Load pattern: engines leave with a notice of 1.5 to 2 s. Guards against an engine that gathers more generations than its link can send away by then, although
-// others have fewer; requests that are not copied do not mind.
-TEST(TargetBalancer, GenerationsAreSpreadByTheTimeToSendThem)
+// Guards against an engine with more generations than its link can transfer within the notice of 1.5 to 2 s, although others have fewer. Requests that are not
+// migrated are not affected.
+TEST(TargetBalancer, GenerationsAreSpreadByTransferTime)
 {
     TargetTable targets({});
     targets.set(entry("few"), Start);
@@ -330,12 +329,12 @@
     auto balancer = makeBalancer();
     // Five generations of 4,000 tokens need 1.1 s of the link; the other engine runs some more short requests.
     balancer.setPeerLoads("p", {{.target = "many", .running = 5, .memory = 25000, .movable = 20000}, {.target = "few", .running = 9, .memory = 20000}});
-    EXPECT_EQ(chosen(balancer, targets, service, {.demand = {.promptTokens = 3000, .expectedTokens = 900, .isMigratable = true}}), "few");
-    EXPECT_EQ(chosen(balancer, targets, service, {.demand = {.promptTokens = 3000, .expectedTokens = 10}}), "many");
+    EXPECT_EQ(chosenTarget(balancer, targets, service, {.demand = {.promptTokens = 3000, .expectedTokens = 900, .isMigratable = true}}), "few");
+    EXPECT_EQ(chosenTarget(balancer, targets, service, {.demand = {.promptTokens = 3000, .expectedTokens = 10}}), "many");
 }
 
-// Load pattern: three engines of a data centre leave at once, and many relays order copies of their generations. Guards against copies from different engines
-// that meet at one destination while others are free.
+// Guards against copies from different engines that share one destination while others are free, when three engines of a data centre leave at once and many
+// relays order copies.
 TEST(TargetBalancer, DestinationsAreDividedAmongLeavingTargets)
 {
     for (int round = 0; round < 200; ++round) {
--- a/Tests/LibRelay/TestTargetTable.cpp
+++ b/Tests/LibRelay/TestTargetTable.cpp
@@ -5,7 +5,7 @@
 using namespace Jujube;
 using namespace std::chrono_literals;
 
-// Guards against new work for a target that is leaving, wherever the news came from, also if an older entry arrives late.
+// Guards against new work for a target that is leaving, whatever reported it, also if an older entry arrives late.
 TEST(TargetTable, LeavingTargetStaysLeaving)
 {
     TargetTable targets({});
@@ -18,7 +18,7 @@
     EXPECT_FALSE(targets.isUsable(*targets.find("a"), Start));
 }
 
-// Guards against a removed target that comes back with a late heartbeat of another gateway.
+// Guards against a removed target that is restored by a late heartbeat of a peer.
 TEST(TargetTable, OlderEntryDoesNotBringARemovedTargetBack)
 {
     TargetTable targets({});
@@ -31,8 +31,8 @@
     EXPECT_TRUE(targets.isUsable(*targets.find("a"), Start));
 }
 
-// Guards against knowledge of an earlier lifetime that is applied to a target that has started again.
-TEST(TargetTable, NewIncarnationStartsAnew)
+// Guards against applying the state of an earlier lifetime to a restarted target.
+TEST(TargetTable, NewIncarnationResetsTheState)
 {
     TargetTable targets({});
     targets.set(entry("a", 1), Start);
@@ -43,8 +43,8 @@
     EXPECT_EQ(targets.find("a")->entry.incarnation, 2);
 }
 
-// Guards against all targets being dropped when the store returns and their entries lapsed meanwhile.
-TEST(TargetTable, LapsedEntriesHaveTimeToReturn)
+// Guards against dropping all targets when the store returns and their entries have expired in the meantime.
+TEST(TargetTable, ExpiredEntriesHaveTimeToReturn)
 {
     TargetTable targets({.reregistrationGrace = 2000ms});
     targets.set(entry("a", 1), Start);
@@ -59,7 +59,7 @@
 }
 
 // Guards against new work for a data centre that is out of service.
-TEST(TargetTable, DataCentreOutGetsNoWork)
+TEST(TargetTable, DataCentreOutOfServiceGetsNoWork)
 {
     TargetTable targets({});
     targets.set(entry("a"), Start);
@@ -69,8 +69,8 @@
     EXPECT_TRUE(targets.isUsable(*targets.find("a"), Start));
 }
 
-// Guards against gateways that believe to know the same targets although they do not.
-TEST(TargetTable, DigestTellsDifferentTargetsApart)
+// Guards against relays that wrongly conclude that they know the same targets.
+TEST(TargetTable, DigestDiffersForDifferentTargets)
 {
     TargetTable left({});
     TargetTable right({});
@@ -84,9 +84,9 @@
     EXPECT_NE(left.digest(), right.digest());
 }
 
-// Guards against targets that are dropped after an outage of the store although they have registered again: the gateway that has read their new entries must
-// tell the others, and must not pass for one that knows the same as they do.
-TEST(TargetTable, ReturnOfALapsedEntryIsNews)
+// Guards against dropping targets after an outage of the store although they have registered again: the relay that has read their new entries must notify the
+// others, and its digest must differ from theirs.
+TEST(TargetTable, ReturnOfAnExpiredEntryIsAChange)
 {
     TargetTable reader({});
     TargetTable other({});
@@ -105,8 +105,8 @@
     EXPECT_TRUE(other.isUsable(*other.find("a"), Start + 13s));
 }
 
-// Guards against targets that are still placed on under the service that they had before, and against removed ones.
-TEST(TargetTable, TargetsAreFoundByTheirPresentService)
+// Guards against placements on targets under their former service, and on removed targets.
+TEST(TargetTable, TargetsAreFoundByTheirCurrentService)
 {
     TargetTable targets({});
     targets.set(entry("a", 1), Start);
@@ -122,9 +122,9 @@
     EXPECT_TRUE(targets.ofService("other").empty());
 }
 
-// Guards against work for a target that has said in an answer that it leaves, brought about by a later entry of the list, a peer's table, another address or a
-// lapse. Only a new lifetime ends it.
-TEST(TargetTable, TargetThatSaidItLeavesStaysLeaving)
+// Guards against work for a target that has reported in a response that it is leaving, caused by a later entry of the list, a peer's table, another address or
+// an expired entry. Only a new lifetime ends the state.
+TEST(TargetTable, TargetThatReportedLeavingStaysLeaving)
 {
     TargetTable targets({});
     targets.set(entry("a", 1), Start);
@@ -145,7 +145,7 @@
 }
 
 // Guards against a report of an earlier lifetime that takes a new one out of use.
-TEST(TargetTable, LeavingOfAnEarlierLifetimeIsIgnored)
+TEST(TargetTable, LeavingReportOfAnEarlierLifetimeIsIgnored)
 {
     TargetTable targets({});
     targets.set(entry("a", 1, 2), Start);
@@ -153,8 +153,8 @@
     EXPECT_TRUE(targets.isUsable(*targets.find("a"), Start));
 }
 
-// Guards against relays that do not learn from a peer that a target leaves because they have a newer entry of the list.
-TEST(TargetTable, LeavingIsToldToRelaysWithNewerEntries)
+// Guards against ignoring a peer's report that a target is leaving because the own entry of the list is newer.
+TEST(TargetTable, LeavingReportAppliesToNewerEntries)
 {
     TargetTable reporter({});
     reporter.set(entry("a", 1), Start);
@@ -167,8 +167,8 @@
     EXPECT_FALSE(receiver.isUsable(*receiver.find("a"), Start));
 }
 
-// Guards against relays that do not read the list and take a target that has turned cold for a warm one.
-TEST(TargetTable, TurningColdIsNews)
+// Guards against relays that do not read the list and treat a target that has turned cold as warm.
+TEST(TargetTable, TurningColdIsAChange)
 {
     TargetTable targets({});
     targets.set(entry("a", 1), Start);
