--- a/Libraries/LibRelay/RelaySession.cpp
+++ b/Libraries/LibRelay/RelaySession.cpp
@@ -10,9 +10,9 @@
 constexpr int FirstRedirect = 300;
 constexpr int FirstSuccess = 200;
 
-// Rejections of one request after which the relay gives up. A rejection is not a run, but each retry after one counts against the retry budget.
+// Rejections that one request may get before the relay gives up. A rejection is not a run, but each retry after one counts against the retry budget.
 constexpr int MaxRejections = 3;
-// Unreachable targets after which the relay gives up on a request. Retries after them take no budget, only time.
+// Unreachable targets that one request may meet before the relay gives up. Retries after them take no budget, only time.
 constexpr int MaxUnreachableTargets = 8;
 // A response that is not a stream is buffered up to this size, so that one that breaks can still be replaced.
 constexpr size_t MaxBufferedResponseBytes = 64 * 1024;
