--- a/Tests/LibRelay/TestBudgetsAndMoves.cpp
+++ b/Tests/LibRelay/TestBudgetsAndMigrations.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 #include <LibRelay/DrainAdmission.h>
-#include <LibRelay/MoveSchedule.h>
+#include <LibRelay/MigrationSchedule.h>
 #include <LibRelay/ServiceRetryBudget.h>
 #include <random>
 
@@ -14,9 +14,9 @@
 
 } // namespace
 
-// Load pattern: every request fails, at all gateways. Guards against a storm of retries: in any window they stay below the ratio and the slack, also if each
-// gateway sees one gateway less than there are.
-TEST(ServiceRetryBudget, RetriesOfAllGatewaysStayBelowTheBound)
+// Guards against a retry storm when every request fails at all relays: in any window, retries stay below the ratio plus the slack, also if each relay sees one
+// relay less than there are.
+TEST(ServiceRetryBudget, RetriesOfAllRelaysStayBelowTheLimit)
 {
     const ServiceRetryBudget::Options options {.ratio = 0.2, .slack = 54, .window = 10s};
     for (const int gateways : {1, 2, 7, 77}) {
@@ -26,7 +26,7 @@
         std::vector<MonotonicTime> retries;
         for (auto now = Start; now < Start + 40s; now += 25ms) {
             auto &budget = budgets[random() % budgets.size()];
-            budget.noteRequest(now);
+            budget.recordRequest(now);
             requests.push_back(now);
             for (int attempt = 0; attempt < 3; ++attempt) {
                 if (budget.tryRetry(std::max(1, gateways - 1), now)) {
@@ -43,18 +43,18 @@
     }
 }
 
-// Guards against a gateway that cannot retry at all after a quiet time.
+// Guards against a relay that cannot retry at all after a time without requests.
 TEST(ServiceRetryBudget, SlackAllowsRetriesWithoutRequests)
 {
     ServiceRetryBudget budget({.ratio = 0.2, .slack = 50, .window = 10s});
     EXPECT_TRUE(budget.tryRetry(7, Start));
 }
 
-// Load pattern: an engine with several drafts leaves within two seconds. Guards against copies that queue behind each other on its link.
-TEST(MoveSchedule, OneGenerationAtATimeTheMostValuableFirst)
+// Guards against copies that queue behind each other on the link of an engine that leaves within two seconds with several drafts.
+TEST(MigrationSchedule, CopiesOneGenerationAtATimeMostValuableFirst)
 {
-    MoveSchedule schedule;
-    schedule.targetLeaves("t", 0ms, Start);
+    MigrationSchedule schedule;
+    schedule.addLeavingTarget("t", 0ms, Start);
     schedule.add("t", "small", 1);
     schedule.add("t", "large", 9);
     schedule.add("t", "medium", 5);
@@ -62,36 +62,36 @@
     EXPECT_TRUE(schedule.takeDue(Start + 1s).empty());
     schedule.remove("large");
     EXPECT_EQ(schedule.takeDue(Start + 1s), std::vector<std::string> {"medium"});
-    // A generation that ends by itself gives up its place.
+    // A generation that ends by itself leaves the queue.
     schedule.remove("small");
     schedule.remove("medium");
     EXPECT_TRUE(schedule.takeDue(Start + 1s).empty());
 }
 
-// Guards against gateways that order their copies at the same moment.
-TEST(MoveSchedule, WaitsForTheGatewaysBefore)
+// Guards against relays that order their copies at the same moment.
+TEST(MigrationSchedule, WaitsForTurnsOfEarlierRelays)
 {
-    MoveSchedule schedule;
-    schedule.targetLeaves("t", 300ms, Start);
+    MigrationSchedule schedule;
+    schedule.addLeavingTarget("t", 300ms, Start);
     schedule.add("t", "a", 1);
     EXPECT_TRUE(schedule.takeDue(Start + 299ms).empty());
-    EXPECT_EQ(schedule.nextTime(), Start + 300ms);
+    EXPECT_EQ(schedule.nextDueTime(), Start + 300ms);
     EXPECT_EQ(schedule.takeDue(Start + 300ms).size(), 1U);
 }
 
 // Guards against engines that wait for each other although their links are separate.
-TEST(MoveSchedule, EnginesDoNotWaitForEachOther)
+TEST(MigrationSchedule, EnginesDoNotWaitForEachOther)
 {
-    MoveSchedule schedule;
-    schedule.targetLeaves("t", 0ms, Start);
-    schedule.targetLeaves("u", 0ms, Start);
+    MigrationSchedule schedule;
+    schedule.addLeavingTarget("t", 0ms, Start);
+    schedule.addLeavingTarget("u", 0ms, Start);
     schedule.add("t", "a", 1);
     schedule.add("u", "b", 1);
     EXPECT_EQ(schedule.takeDue(Start).size(), 2U);
 }
 
-// Load pattern: rolling restarts while callers keep their channels. Guards against a draft that is accepted seconds before the process is killed.
-TEST(DrainAdmission, RefusesWhatCannotEndInTime)
+// Guards against accepting a draft seconds before the process is killed, as happens in rolling restarts while callers keep their connections.
+TEST(DrainAdmission, RejectsRequestsThatCannotEndInTime)
 {
     const DrainAdmission admission;
     const RunDemand draft {.promptTokens = 3000, .expectedTokens = 900};
