--- a/Tests/Soak/Harness/SoakLedger.cpp
+++ b/Tests/Soak/Harness/SoakLedger.cpp
@@ -102,7 +102,7 @@
     m_requests[id] = {.sent = std::move(sent), .sentAt = now};
 }
 
-void SoakLedger::onArrival(MonotonicTime now, const std::string &target, const std::string &service, const MessageHead &head, StandInServer::Arrival arrival)
+void SoakLedger::onArrival(MonotonicTime now, const std::string &target, const std::string &service, const MessageHead &head, StandInTarget::Arrival arrival)
 {
     const std::string id(head.value("X-Attempt-Id"));
     const auto found = m_requests.find(id);
@@ -121,16 +121,16 @@
     if (request.leftAt && now > *request.leftAt + SoakBounds::AfterLeaving && isInTouch(request.sent.relay, now)) {
         m_passedAfterLeaving.push_back(id);
     }
-    if (arrival != StandInServer::Arrival::Continued && ++request.arrivals > 1) {
+    if (arrival != StandInTarget::Arrival::Continued && ++request.arrivals > 1) {
         m_retried[service].push_back(now);
     }
     if (request.sent.isFatal) {
         checkFatal(now, request, arrival);
     }
-    if (arrival != StandInServer::Arrival::NotRun) {
+    if (arrival != StandInTarget::Arrival::NotRun) {
         request.lastTarget = target;
     }
-    if (arrival != StandInServer::Arrival::Run) {
+    if (arrival != StandInTarget::Arrival::Run) {
         return;
     }
     ++request.runs;
@@ -164,13 +164,13 @@
     }
 }
 
-void SoakLedger::checkFatal(MonotonicTime now, const Request &request, StandInServer::Arrival arrival)
+void SoakLedger::checkFatal(MonotonicTime now, const Request &request, StandInTarget::Arrival arrival)
 {
     if (m_fatalKnownAt && now > *m_fatalKnownAt + SoakBounds::Contact && isInTouch(request.sent.relay, now)
         && ++m_fatalPassed == SoakBounds::FewFatalRequests + 1) {
         reportTimed("crash", absl::StrCat(request.sent.relay, " passed on a request that has crashed ", m_crashes, " targets"));
     }
-    if (arrival == StandInServer::Arrival::Run && ++m_crashes == SoakBounds::CrashesUntilKnown) {
+    if (arrival == StandInTarget::Arrival::Run && ++m_crashes == SoakBounds::CrashesUntilKnown) {
         m_fatalKnownAt = now;
     }
 }
--- a/Tests/Soak/Harness/SoakLedger.h
+++ b/Tests/Soak/Harness/SoakLedger.h
@@ -4,7 +4,7 @@
 #include <LibLoop/MessageHead.h>
 #include <map>
 #include <optional>
-#include <platform/StandIns/StandInServer.h>
+#include <platform/StandIns/StandInTarget.h>
 #include <set>
 #include <string>
 #include <vector>
@@ -105,7 +105,7 @@
     bool isInTouch(const std::string &relay, MonotonicTime now) const;
 
     void onSent(MonotonicTime now, const std::string &id, Sent sent);
-    void onArrival(MonotonicTime now, const std::string &target, const std::string &service, const MessageHead &head, StandInServer::Arrival arrival);
+    void onArrival(MonotonicTime now, const std::string &target, const std::string &service, const MessageHead &head, StandInTarget::Arrival arrival);
     void onAnswer(MonotonicTime now, const std::string &id, const Answer &answer);
     // The caller has closed its connection before the end.
     void onLeft(MonotonicTime now, const std::string &id);
@@ -158,7 +158,7 @@
     void checkForwarded(MonotonicTime now, const std::string &id, const Request &request, const std::string &target, const MessageHead &head);
     void checkForbidden(MonotonicTime now, const std::string &id, const Request &request, const std::string &target);
     // A request that crashes targets, which has reached one more.
-    void checkFatal(MonotonicTime now, const Request &request, StandInServer::Arrival arrival);
+    void checkFatal(MonotonicTime now, const Request &request, StandInTarget::Arrival arrival);
     void checkRetries();
 
     const Options m_options;
--- a/Tests/Soak/Harness/SoakWorld.cpp
+++ b/Tests/Soak/Harness/SoakWorld.cpp
@@ -116,10 +116,10 @@
 void SoakWorld::startTarget(Target &target)
 {
     const bool isEngine = target.service == "engine";
-    StandInServer::Options options {.id = target.id,
+    StandInTarget::Options options {.id = target.id,
                                     .address = target.address,
                                     .events = isEngine ? EventsOfGeneration : 0,
-                                    .eventPause = std::chrono::milliseconds(20),
+                                    .eventInterval = std::chrono::milliseconds(20),
                                     .work = std::chrono::milliseconds(60),
                                     .body = isEngine ? [](const std::string &) { return soakEvents(EventsOfGeneration); } : soakBody,
                                     .isFatal = [](const MessageHead &head) { return head.target == FatalTarget; },
@@ -130,10 +130,10 @@
                                         },
                                     .canCopyTo = [this](const std::string &to) { return takesCopies(to); },
                                     .onArrival =
-                                        [this, id = target.id, service = target.service](const MessageHead &head, StandInServer::Arrival arrival) {
+                                        [this, id = target.id, service = target.service](const MessageHead &head, StandInTarget::Arrival arrival) {
                                             m_ledger.onArrival(monotonicNow(), id, service, head, arrival);
                                         }};
-    target.server = std::make_unique<StandInServer>(m_loop, std::move(options));
+    target.server = std::make_unique<StandInTarget>(m_loop, std::move(options));
     target.link->setListening(true);
     target.isDown = false;
     if (const auto evacuated = m_evacuatedSince.find(target.dataCentre); evacuated != m_evacuatedSince.end()) {
@@ -149,7 +149,7 @@
 
 void SoakWorld::registerTarget(const Target &target, const std::string &state)
 {
-    const StandInServerRow row {
+    const StandInTargetRow row {
         .service = target.service, .address = target.link->address().toText(), .dataCentre = target.dataCentre, .state = state, .born = target.born};
     m_store->put("servers", target.id, row.toText());
 }
--- a/Tests/Soak/Harness/SoakWorld.h
+++ b/Tests/Soak/Harness/SoakWorld.h
@@ -56,7 +56,7 @@
         std::string dataCentre;
         Endpoint address;
         std::unique_ptr<LoopbackProxy> link;
-        std::unique_ptr<StandInServer> server;
+        std::unique_ptr<StandInTarget> server;
         int64_t born = 1;
         bool isDown = false;
     };
@@ -114,7 +114,7 @@
     std::unique_ptr<StandInStore> m_store;
     std::vector<std::unique_ptr<Target>> m_targets;
     // Targets that crashed; their timers may still run.
-    std::vector<std::unique_ptr<StandInServer>> m_crashed;
+    std::vector<std::unique_ptr<StandInTarget>> m_crashed;
     std::vector<std::unique_ptr<SoakRelay>> m_relays;
     std::vector<std::unique_ptr<SoakCaller>> m_callers;
     LoopClient m_client;
--- a/Tests/Soak/TestSoakLedger.cpp
+++ b/Tests/Soak/TestSoakLedger.cpp
@@ -41,7 +41,7 @@
         return result;
     }
 
-    void arrive(MonotonicTime now = Start, StandInServer::Arrival arrival = StandInServer::Arrival::Run)
+    void arrive(MonotonicTime now = Start, StandInTarget::Arrival arrival = StandInTarget::Arrival::Run)
     {
         ledger.onArrival(now, "i-1", service, head(), arrival);
     }
@@ -129,18 +129,18 @@
     World world(SoakKind::OneTime);
     auto head = world.head();
     head.set("Authorization", "Bearer key-1");
-    world.ledger.onArrival(Start, "i-1", "desk", head, StandInServer::Arrival::NotRun);
+    world.ledger.onArrival(Start, "i-1", "desk", head, StandInTarget::Arrival::NotRun);
     EXPECT_TRUE(world.breaksOnly("unasked"));
     World elsewhere(SoakKind::OneTime);
     elsewhere.service = "engine";
     auto wrong = elsewhere.head();
     wrong.target = "/commit/x";
-    elsewhere.ledger.onArrival(Start, "i-1", "engine", wrong, StandInServer::Arrival::NotRun);
+    elsewhere.ledger.onArrival(Start, "i-1", "engine", wrong, StandInTarget::Arrival::NotRun);
     EXPECT_TRUE(elsewhere.breaksOnly("route"));
     World longer(SoakKind::OneTime);
     head = longer.head();
     head.set("X-Deadline-Ms", "11000");
-    longer.ledger.onArrival(Start, "i-1", "desk", head, StandInServer::Arrival::NotRun);
+    longer.ledger.onArrival(Start, "i-1", "desk", head, StandInTarget::Arrival::NotRun);
     EXPECT_TRUE(longer.breaksOnly("budget"));
 }
 
@@ -150,9 +150,9 @@
     World world(SoakKind::OneTime);
     world.ledger.forbidTarget("i-1", "drain", Start);
     world.ledger.disturb("n1", Start);
-    world.arrive(Start + 1s, StandInServer::Arrival::NotRun);
+    world.arrive(Start + 1s, StandInTarget::Arrival::NotRun);
     EXPECT_TRUE(world.breaksOnly(""));
-    world.arrive(Start + 4s, StandInServer::Arrival::NotRun);
+    world.arrive(Start + 4s, StandInTarget::Arrival::NotRun);
     EXPECT_TRUE(world.breaksOnly("drain"));
     World allowed(SoakKind::OneTime);
     allowed.ledger.forbidTarget("i-1", "drain", Start);
@@ -192,7 +192,7 @@
         ledger.onSent(Start, id, {.relay = "n1", .kind = SoakKind::Repeatable, .method = "POST", .target = "/commit/x", .deadline = 5s});
         world.id = id;
         for (int turn = 0; turn < 2; ++turn) {
-            ledger.onArrival(Start + 1s, "i-1", "desk", world.head(), StandInServer::Arrival::NotRun);
+            ledger.onArrival(Start + 1s, "i-1", "desk", world.head(), StandInTarget::Arrival::NotRun);
         }
     }
     ledger.finish();
@@ -208,7 +208,7 @@
     const auto arrive = [&](int number, MonotonicTime now) {
         world.id = "f-" + std::to_string(number);
         ledger.onSent(now, world.id, {.relay = "n1", .kind = SoakKind::Repeatable, .method = "POST", .target = "/commit/x", .deadline = 5s, .isFatal = true});
-        ledger.onArrival(now, "i-1", "desk", world.head(), StandInServer::Arrival::Run);
+        ledger.onArrival(now, "i-1", "desk", world.head(), StandInTarget::Arrival::Run);
     };
     for (int number = 0; number < 5; ++number) {
         arrive(number, Start);
