--- a/Libraries/LibRelayServer/PlatformAdapter.h
+++ b/Libraries/LibRelayServer/PlatformAdapter.h
@@ -60,7 +60,8 @@
     std::vector<std::string> reserved;
 };
 
-// Everything that depends on the platform on which the relay runs: names, paths and encodings. The relay itself decides, keeps state and retries.
+// Everything that depends on the platform on which the relay runs: names, paths and encodings. It makes no decisions, keeps no state and does not retry; the
+// relay does.
 struct PlatformAdapter {
     HeaderFieldNames fields;
     std::string readyPath;
--- a/Libraries/LibRelayServer/Relay.cpp
+++ b/Libraries/LibRelayServer/Relay.cpp
@@ -24,7 +24,7 @@
 // With fewer addresses in the caller's region, addresses of other regions are added.
 constexpr size_t MinAddresses = 2;
 constexpr size_t MaxAddresses = 64;
-// Time for which the process must have been suspended to count as frozen.
+// Minimum time of a suspension that is handled as a freeze.
 constexpr std::chrono::milliseconds MinFreezeTime {400};
 // Number of ticks between reads from a peer whose target list differs, while the store is unavailable.
 constexpr uint64_t TicksPerPeerRead = 3;
--- a/Libraries/LibRelayServer/Relay.h
+++ b/Libraries/LibRelayServer/Relay.h
@@ -68,7 +68,7 @@
     void tick();
     // While no relay reads the target list, reads the state of the engines that run migratable generations, to detect engines that are leaving.
     void checkRunningEngines();
-    // State of this relay's own reads of the target list, without reports of peers, which every heartbeat would request.
+    // State of this relay's own reads of the target list, without the reports of peers. Every heartbeat includes it.
     ListSources ownReadState() const;
     ListSources listSources(MonotonicTime now) const;
     // Whether this relay reads all tables successfully, so that other relays can rely on it.
