--- a/Libraries/LibControl/ControlContext.h
+++ b/Libraries/LibControl/ControlContext.h
@@ -4,7 +4,7 @@
 #include <LibCore/Time.h>
 #include <LibEvents/EventKind.h>
 #include <LibHttp/HttpClient.h>
-#include <LibPlatform/PlatformGate.h>
+#include <LibPlatform/PlatformRateLimiter.h>
 #include <memory>
 #include <string>
 
@@ -21,7 +21,7 @@
     // Numbers from [0, 1).
     std::function<double()> random;
     HttpSender send;
-    std::shared_ptr<PlatformGate> gate;
+    std::shared_ptr<PlatformRateLimiter> gate;
     // Records an event about a target; the detail is for people.
     std::function<void(EventKind kind, const std::string &target, const std::string &detail)> record;
 
@@ -29,9 +29,9 @@
     void reportToGate(bool wasAnswered) const
     {
         if (wasAnswered) {
-            gate->onAnswered(now());
+            gate->onResponse(now());
         } else {
-            gate->onFailed(now(), random());
+            gate->onFailure(now(), random());
         }
     }
 };
--- a/Libraries/LibControl/LeaseKeeper.cpp
+++ b/Libraries/LibControl/LeaseKeeper.cpp
@@ -121,7 +121,7 @@
         m_sent.erase(m_lastRenewal);
         m_mustRead = true;
         m_nextCall = now;
-        if (result.currentKnown && result.current) {
+        if (result.isCurrentKnown && result.current) {
             m_mustRead = false;
             m_lastRead = now;
             observe(*result.current, now);
--- a/Libraries/LibGateway/CrashWatch.h
+++ b/Libraries/LibGateway/CrashWatch.h
@@ -2,7 +2,7 @@
 
 #include <functional>
 #include <LibEvents/EventLog.h>
-#include <LibMembership/CrashCarrier.h>
+#include <LibMembership/CrashReportBuffer.h>
 #include <LibPolicy/CrashSuspects.h>
 #include <mutex>
 #include <set>
--- a/Libraries/LibGateway/GenerationStream.cpp
+++ b/Libraries/LibGateway/GenerationStream.cpp
@@ -34,7 +34,7 @@
     const auto &model = options.caller.document->document.models.at(options.body.model);
     return {
         .generation = options.generation,
-        .continuesExactly = model.continuation == Continuation::Exact,
+        .canContinueExactly = model.continuation == Continuation::Exact,
         .cursor = options.cursor,
     };
 }
@@ -120,14 +120,14 @@
         return std::nullopt;
     case CrashVerdict::Action::RunIsolated: {
         if (now < m_isolatedUntil) {
-            return m_session.onHeld(m_isolatedUntil, now);
+            return m_session.onPlacementDelayed(m_isolatedUntil, now);
         }
         const auto others = m_parts.crashes->targetsOfSuspects();
         excluded.insert(others.begin(), others.end());
         return std::nullopt;
     }
     case CrashVerdict::Action::Wait:
-        return m_session.onHeld(verdict.until, now);
+        return m_session.onPlacementDelayed(verdict.until, now);
     case CrashVerdict::Action::Refuse:
         break;
     }
@@ -147,7 +147,7 @@
             .detail = "this gateway reaches neither the platform nor enough gateways",
             .retryAfter = errorKindInfo(ErrorKind::Isolated).retryAfter,
         };
-        return waitedLongEnough ? m_session.onRefused(isolated, now) : m_session.onHeld(now + 100ms, now);
+        return waitedLongEnough ? m_session.onPlacementRejected(isolated, now) : m_session.onPlacementDelayed(now + 100ms, now);
     }
     const auto decision = m_parts.fleet->place(placementRequest(excluded), now);
     if (const auto *placed = std::get_if<PlaceOnTarget>(&decision)) {
@@ -157,14 +157,14 @@
         return m_session.onPlaced(placed->target, now);
     }
     if (const auto *held = std::get_if<WaitUntil>(&decision)) {
-        return m_session.onHeld(held->time, now);
+        return m_session.onPlacementDelayed(held->time, now);
     }
     const auto &refused = std::get<RefuseRequest>(decision);
     if (m_isSuspect && now - m_acceptedAt < m_options.caller.document->document.limits.queueWait) {
         // All usable targets run other suspects, which end or are cleared.
-        return m_session.onHeld(now + SuspectPoll, now);
+        return m_session.onPlacementDelayed(now + SuspectPoll, now);
     }
-    return m_session.onRefused({.kind = refused.kind, .detail = "no target has room for this request", .retryAfter = refused.retryAfter}, now);
+    return m_session.onPlacementRejected({.kind = refused.kind, .detail = "no target has room for this request", .retryAfter = refused.retryAfter}, now);
 }
 
 HttpCall GenerationStream::generateCall(const std::string &address, const Generate &action) const
@@ -194,7 +194,7 @@
 {
     const auto address = m_parts.fleet->addressOf(action.target);
     if (!address) {
-        auto next = m_session.onUpstreamEnd(UpstreamEnd::Unreachable, monotonicNow());
+        auto next = m_session.onEngineStreamEnd(EngineStreamEnd::Unreachable, monotonicNow());
         m_pending.insert(m_pending.end(), next.begin(), next.end());
         return;
     }
@@ -214,7 +214,7 @@
 {
     const auto address = m_parts.fleet->addressOf(action.target);
     if (!address) {
-        auto next = m_session.onUpstreamEnd(UpstreamEnd::Unreachable, monotonicNow());
+        auto next = m_session.onEngineStreamEnd(EngineStreamEnd::Unreachable, monotonicNow());
         m_pending.insert(m_pending.end(), next.begin(), next.end());
         return;
     }
@@ -248,7 +248,7 @@
     const auto now = monotonicNow();
     record(EventKind::TargetLost, action.target);
     m_parts.metrics->count("jujube_targets_lost_total");
-    const bool died = action.end == UpstreamEnd::Refused || action.end == UpstreamEnd::NotFound;
+    const bool died = action.end == EngineStreamEnd::Refused || action.end == EngineStreamEnd::NotFound;
     if (m_placed && died && m_hasReached && !m_parts.fleet->isLeaving(action.target)) {
         m_parts.crashes->targetDied(action.target, m_targetIncarnation, now);
         m_isolatedUntil = now + isolationPause(m_options.generation, m_session.attempt());
@@ -256,7 +256,7 @@
     m_parts.crashes->ended(m_options.generation);
     if (m_placed) {
         m_placed = false;
-        m_parts.fleet->generationFailed(m_options.generation, action.end == UpstreamEnd::Busy ? FailureReason::Moved : FailureReason::TargetLost, now);
+        m_parts.fleet->generationFailed(m_options.generation, action.end == EngineStreamEnd::Busy ? FailureReason::Moved : FailureReason::TargetLost, now);
     }
 }
 
@@ -318,7 +318,7 @@
     const auto until = std::min(m_waitUntil.value_or(now + 100ms), now + m_parts.options.keepAliveInterval);
     m_parts.fleet->waitForTurn(m_options.generation, until);
     if (keepAlive()) {
-        perform(m_session.onTime(monotonicNow()));
+        perform(m_session.onTimer(monotonicNow()));
     }
 }
 
@@ -330,15 +330,15 @@
         keepAlive();
         return;
     }
-    if (const auto *end = std::get_if<UpstreamEnd>(&*piece)) {
+    if (const auto *end = std::get_if<EngineStreamEnd>(&*piece)) {
         m_upstream.reset();
-        if (*end == UpstreamEnd::Closed || *end == UpstreamEnd::Broken || *end == UpstreamEnd::Silent) {
+        if (*end == EngineStreamEnd::Closed || *end == EngineStreamEnd::Broken || *end == EngineStreamEnd::Silent) {
             noteReached();
         }
-        if (*end == UpstreamEnd::Silent) {
+        if (*end == EngineStreamEnd::Silent) {
             record(EventKind::TargetSilent, m_session.target());
         }
-        perform(m_session.onUpstreamEnd(*end, monotonicNow()));
+        perform(m_session.onEngineStreamEnd(*end, monotonicNow()));
         return;
     }
     takeBytes(std::get<std::string>(*piece));
--- a/Libraries/LibGateway/OneTimeRunner.cpp
+++ b/Libraries/LibGateway/OneTimeRunner.cpp
@@ -18,7 +18,7 @@
         return ClaimWriteEnd::Done;
     case WriteEnd::Conflict:
         // Without the row in the way nothing can be decided; the claim is read again.
-        return result.currentKnown && result.current ? ClaimWriteEnd::Conflict : ClaimWriteEnd::Unknown;
+        return result.isCurrentKnown && result.current ? ClaimWriteEnd::Conflict : ClaimWriteEnd::Unknown;
     case WriteEnd::NotDone:
         return ClaimWriteEnd::NotDone;
     case WriteEnd::Unknown:
@@ -48,7 +48,7 @@
 {
 }
 
-std::variant<Answer, Problem> OneTimeRunner::run()
+std::variant<Respond, Problem> OneTimeRunner::run()
 {
     push(m_call.start());
     while (!m_steps.empty()) {
@@ -99,7 +99,7 @@
     const auto answer = m_options.send();
     if (answer.end == CallEnd::NotSent) {
         record(EventKind::CallNotRun);
-    } else if (answer.end == CallEnd::Answered) {
+    } else if (answer.end == CallEnd::Responded) {
         record(EventKind::TargetAnswered, "status " + std::to_string(answer.status));
     }
     push(m_call.onCalled(answer));
@@ -131,18 +131,18 @@
     });
 }
 
-void OneTimeRunner::perform(const Pause &step)
+void OneTimeRunner::perform(const Delay &step)
 {
     std::this_thread::sleep_for(step.time);
-    push(m_call.onTime());
+    push(m_call.onTimer());
 }
 
-void OneTimeRunner::perform(const Answer &step)
+void OneTimeRunner::perform(const Respond &step)
 {
     m_result = step;
 }
 
-void OneTimeRunner::perform(const Refuse &step)
+void OneTimeRunner::perform(const Reject &step)
 {
     m_result = step.problem;
 }
--- a/Libraries/LibGateway/OneTimeRunner.h
+++ b/Libraries/LibGateway/OneTimeRunner.h
@@ -20,12 +20,12 @@
         std::string bodyDigest;
         std::string request;
         // Sends the call once.
-        std::function<CallAnswer()> send;
+        std::function<CallResponse()> send;
     };
 
     explicit OneTimeRunner(Options options);
 
-    std::variant<OneTimeAction::Answer, Problem> run();
+    std::variant<OneTimeAction::Respond, Problem> run();
 
 private:
     void push(OneTimeSteps steps);
@@ -34,15 +34,15 @@
     void perform(const OneTimeAction::SendCall &step);
     void perform(const OneTimeAction::RecordOutcome &step);
     void perform(const OneTimeAction::ReleaseClaim &step);
-    void perform(const OneTimeAction::Pause &step);
-    void perform(const OneTimeAction::Answer &step);
-    void perform(const OneTimeAction::Refuse &step);
+    void perform(const OneTimeAction::Delay &step);
+    void perform(const OneTimeAction::Respond &step);
+    void perform(const OneTimeAction::Reject &step);
     void record(EventKind kind, std::string detail = {}) const;
 
     const Options m_options;
     OneTimeCall m_call;
     std::vector<OneTimeStep> m_steps;
-    std::variant<OneTimeAction::Answer, Problem> m_result = Problem {};
+    std::variant<OneTimeAction::Respond, Problem> m_result = Problem {};
 };
 
 } // namespace Jujube
--- a/Libraries/LibGateway/ServiceHandler.cpp
+++ b/Libraries/LibGateway/ServiceHandler.cpp
@@ -30,10 +30,10 @@
     return id.size() <= MaxIdBytes && id != "." && id != ".." && std::all_of(id.begin(), id.end(), plain);
 }
 
-std::string contentTypeOf(const HttpAnswer &answer)
+std::string contentTypeOf(const HttpAnswer &response)
 {
-    const auto found = answer.headers.find("content-type");
-    return found == answer.headers.end() ? "application/octet-stream" : found->second;
+    const auto found = response.headers.find("content-type");
+    return found == response.headers.end() ? "application/octet-stream" : found->second;
 }
 
 } // namespace
@@ -133,16 +133,16 @@
         refuse(m_parts, responder, *problem, requestId);
         return;
     }
-    const auto &answer = std::get<OneTimeAction::Answer>(result);
+    const auto &response = std::get<OneTimeAction::Respond>(result);
     HttpHeaders headers;
-    if (answer.isReplay) {
+    if (response.isReplay) {
         headers["Idempotent-Replayed"] = "true";
     }
-    responder.send(answer.answer.status, answer.answer.contentType, answer.answer.body, headers);
+    responder.send(response.response.status, response.response.contentType, response.response.body, headers);
     m_parts.record({.kind = EventKind::RequestFinished, .request = requestId});
 }
 
-CallAnswer ServiceHandler::sendOnce(const HttpRequest &request, const Caller &caller, const Route &route, const std::string &requestId)
+CallResponse ServiceHandler::sendOnce(const HttpRequest &request, const Caller &caller, const Route &route, const std::string &requestId)
 {
     std::set<std::string> tried;
     for (int i = 0; i < MaxTargetsTried; ++i) {
@@ -152,12 +152,12 @@
             break;
         }
         m_parts.record({.kind = EventKind::TargetChosen, .request = requestId, .target = *target});
-        const auto answer = m_parts.http->call(makeCall(request, caller, route, *address));
-        if (answer.end == HttpEnd::Complete) {
-            return {.end = CallEnd::Answered, .status = answer.status, .contentType = contentTypeOf(answer), .body = answer.body};
+        const auto response = m_parts.http->call(makeCall(request, caller, route, *address));
+        if (response.end == HttpEnd::Complete) {
+            return {.end = CallEnd::Responded, .status = response.status, .contentType = contentTypeOf(response), .body = response.body};
         }
-        m_parts.record({.kind = EventKind::TargetLost, .request = requestId, .target = *target, .detail = answer.error});
-        if (answer.end != HttpEnd::NotSent) {
+        m_parts.record({.kind = EventKind::TargetLost, .request = requestId, .target = *target, .detail = response.error});
+        if (response.end != HttpEnd::NotSent) {
             return {.end = CallEnd::Unknown};
         }
         // No byte reached this target, so another one may be tried.
@@ -184,11 +184,11 @@
         refuse(m_parts, responder, *problem, {});
         return;
     }
-    const auto &answer = std::get<HttpAnswer>(result);
-    if (cacheable && answer.isSuccess()) {
-        m_cache.store(key, {.status = answer.status, .contentType = contentTypeOf(answer), .body = answer.body}, askedAt);
+    const auto &response = std::get<HttpAnswer>(result);
+    if (cacheable && response.isSuccess()) {
+        m_cache.store(key, {.status = response.status, .contentType = contentTypeOf(response), .body = response.body}, askedAt);
     }
-    responder.send(answer.status, contentTypeOf(answer), answer.body);
+    responder.send(response.status, contentTypeOf(response), response.body);
 }
 
 std::variant<HttpAnswer, Problem> ServiceHandler::sendRepeatable(const HttpRequest &request, const Caller &caller, const Route &route)
@@ -201,9 +201,9 @@
             break;
         }
         tried.insert(*target);
-        auto answer = m_parts.http->call(makeCall(request, caller, route, *address));
-        if (answer.end == HttpEnd::Complete && answer.status < FirstServerError) {
-            return answer;
+        auto response = m_parts.http->call(makeCall(request, caller, route, *address));
+        if (response.end == HttpEnd::Complete && response.status < FirstServerError) {
+            return response;
         }
         m_parts.metrics->count("jujube_service_retries_total");
     }
--- a/Libraries/LibGateway/ServiceHandler.h
+++ b/Libraries/LibGateway/ServiceHandler.h
@@ -34,7 +34,7 @@
     void handleRepeatable(const HttpRequest &request, const Caller &caller, const Route &route, HttpResponder &responder);
     // Sends a call that may be repeated, to another target each time, until one answers.
     std::variant<HttpAnswer, Problem> sendRepeatable(const HttpRequest &request, const Caller &caller, const Route &route);
-    CallAnswer sendOnce(const HttpRequest &request, const Caller &caller, const Route &route, const std::string &requestId);
+    CallResponse sendOnce(const HttpRequest &request, const Caller &caller, const Route &route, const std::string &requestId);
     static HttpCall makeCall(const HttpRequest &request, const Caller &caller, const Route &route, const std::string &address);
 
     GatewayParts &m_parts;
--- a/Libraries/LibGateway/UpstreamStream.cpp
+++ b/Libraries/LibGateway/UpstreamStream.cpp
@@ -22,30 +22,30 @@
     std::atomic<bool> paused {false};
 };
 
-UpstreamEnd upstreamEndOf(const HttpAnswer &answer)
+EngineStreamEnd upstreamEndOf(const HttpAnswer &answer)
 {
     switch (answer.end) {
     case HttpEnd::NotSent:
-        return answer.refused ? UpstreamEnd::Refused : UpstreamEnd::Unreachable;
+        return answer.refused ? EngineStreamEnd::Refused : EngineStreamEnd::Unreachable;
     case HttpEnd::Silent:
-        return UpstreamEnd::Silent;
+        return EngineStreamEnd::Silent;
     case HttpEnd::Broken:
     case HttpEnd::TimedOut:
     case HttpEnd::Cancelled:
-        return UpstreamEnd::Broken;
+        return EngineStreamEnd::Broken;
     case HttpEnd::Complete:
         break;
     }
     switch (answer.status) {
     case Ok:
-        return UpstreamEnd::Closed;
+        return EngineStreamEnd::Closed;
     case NotFoundStatus:
-        return UpstreamEnd::NotFound;
+        return EngineStreamEnd::NotFound;
     case TooManyRequestsStatus:
     case UnavailableStatus:
-        return UpstreamEnd::Busy;
+        return EngineStreamEnd::Busy;
     default:
-        return UpstreamEnd::Rejected;
+        return EngineStreamEnd::Rejected;
     }
 }
 
--- a/Libraries/LibGateway/UpstreamStream.h
+++ b/Libraries/LibGateway/UpstreamStream.h
@@ -15,7 +15,7 @@
 class UpstreamStream
 {
 public:
-    using Piece = std::variant<std::string, UpstreamEnd>;
+    using Piece = std::variant<std::string, EngineStreamEnd>;
 
     // Starts the call. The client must outlive the stream.
     UpstreamStream(HttpClient &client, HttpCall call);
@@ -43,6 +43,6 @@
 };
 
 // What an answer's end and status mean for a generation.
-UpstreamEnd upstreamEndOf(const HttpAnswer &answer);
+EngineStreamEnd upstreamEndOf(const HttpAnswer &answer);
 
 } // namespace Jujube
--- a/Libraries/LibGeneration/GenerationSession.cpp
+++ b/Libraries/LibGeneration/GenerationSession.cpp
@@ -52,7 +52,7 @@
     m_resuming = false;
     m_resumes = 0;
     const auto *log = m_assembler.wholeLog();
-    if (m_options.continuesExactly && log) {
+    if (m_options.canContinueExactly && log) {
         m_assembler.beginAttempt(m_assembler.attempt(), static_cast<int32_t>(log->size()));
         return {Generate {.target = target, .attempt = m_assembler.attempt(), .tokens = *log}};
     }
@@ -60,7 +60,7 @@
     return {Generate {.target = target, .attempt = m_assembler.attempt(), .tokens = {}}};
 }
 
-GenerationActions GenerationSession::onRefused(const Problem &problem, MonotonicTime now)
+GenerationActions GenerationSession::onPlacementRejected(const Problem &problem, MonotonicTime now)
 {
     if (!isDelivered()) {
         m_over = true;
@@ -80,7 +80,7 @@
     return {Fail {problem}};
 }
 
-GenerationActions GenerationSession::onHeld(MonotonicTime until, MonotonicTime now)
+GenerationActions GenerationSession::onPlacementDelayed(MonotonicTime until, MonotonicTime now)
 {
     if (timedOut(now)) {
         return fail(ErrorKind::DeadlineExceeded, "no target had room for the generation in time");
@@ -88,7 +88,7 @@
     return {Wait {until}};
 }
 
-GenerationActions GenerationSession::onTime(MonotonicTime now)
+GenerationActions GenerationSession::onTimer(MonotonicTime now)
 {
     if (m_over || !m_target.empty()) {
         return {};
@@ -114,7 +114,7 @@
     case EngineLineKind::Invalid:
         break;
     }
-    return loseTarget(UpstreamEnd::Broken, now);
+    return loseTarget(EngineStreamEnd::Broken, now);
 }
 
 GenerationActions GenerationSession::acceptToken(const EngineLine &line, MonotonicTime now)
@@ -128,14 +128,14 @@
     case LineVerdict::Foreign:
         return {};
     case LineVerdict::Gap:
-        return loseTarget(UpstreamEnd::Broken, now);
+        return loseTarget(EngineStreamEnd::Broken, now);
     case LineVerdict::Mismatch:
         return fail(ErrorKind::GenerationLost, "the repeated generation differs from the tokens delivered so far");
     }
     m_lastProgress = now;
     m_resumes = 0;
     const Deliver deliver {.index = m_assembler.nextOffset() - 1, .text = line.text, .checksum = m_assembler.checksum().value()};
-    if (!m_options.continuesExactly && !isDelivered()) {
+    if (!m_options.canContinueExactly && !isDelivered()) {
         m_held.push_back(deliver);
         return {};
     }
@@ -161,29 +161,29 @@
     return actions;
 }
 
-GenerationActions GenerationSession::onUpstreamEnd(UpstreamEnd end, MonotonicTime now)
+GenerationActions GenerationSession::onEngineStreamEnd(EngineStreamEnd end, MonotonicTime now)
 {
     if (m_over || m_target.empty()) {
         return {};
     }
     switch (end) {
-    case UpstreamEnd::Closed:
-    case UpstreamEnd::Broken:
-    case UpstreamEnd::Silent:
+    case EngineStreamEnd::Closed:
+    case EngineStreamEnd::Broken:
+    case EngineStreamEnd::Silent:
         // The connection may be at fault rather than the target, so the same target is asked again over a new connection.
         if (m_resumes < m_options.resumeLimit) {
             return resumeSameTarget();
         }
         return loseTarget(end, now);
-    case UpstreamEnd::Rejected:
+    case EngineStreamEnd::Rejected:
         if (!m_resuming) {
             return fail(ErrorKind::TargetFailed, "the engine rejected the request");
         }
         return loseTarget(end, now);
-    case UpstreamEnd::Unreachable:
-    case UpstreamEnd::Refused:
-    case UpstreamEnd::NotFound:
-    case UpstreamEnd::Busy:
+    case EngineStreamEnd::Unreachable:
+    case EngineStreamEnd::Refused:
+    case EngineStreamEnd::NotFound:
+    case EngineStreamEnd::Busy:
         return loseTarget(end, now);
     }
     return {};
@@ -197,16 +197,16 @@
     return {Resume {.target = m_target, .attempt = m_assembler.attempt(), .from = m_assembler.nextOffset()}};
 }
 
-GenerationActions GenerationSession::loseTarget(UpstreamEnd end, MonotonicTime now)
+GenerationActions GenerationSession::loseTarget(EngineStreamEnd end, MonotonicTime now)
 {
     GenerationActions actions {Abandon {m_target}, ReportLost {.target = m_target, .end = end}};
     m_excluded.insert(m_target);
     m_target.clear();
-    if (end != UpstreamEnd::Busy) {
+    if (end != EngineStreamEnd::Busy) {
         ++m_losses;
     }
     const int32_t nextAttempt = m_assembler.attempt() + 1;
-    if (m_options.continuesExactly) {
+    if (m_options.canContinueExactly) {
         m_assembler.beginAttempt(nextAttempt, m_assembler.nextOffset());
     } else if (isDelivered()) {
         auto failure = fail(ErrorKind::GenerationLost, "the engine that held the generation is gone and no other one can continue it");
--- a/Libraries/LibGeneration/GenerationSession.h
+++ b/Libraries/LibGeneration/GenerationSession.h
@@ -12,7 +12,7 @@
 {
 
 // How an engine's stream ended.
-enum class UpstreamEnd {
+enum class EngineStreamEnd {
     // The engine closed the stream after its last line, or early.
     Closed,
     // No connection was made.
@@ -33,7 +33,7 @@
 namespace SessionAction
 {
 
-// Ask the policy for a target; answered with onPlaced() or onRefused().
+// Ask the policy for a target; answered with onPlaced() or onPlacementRejected().
 struct Place {
     std::set<std::string> excludedTargets;
 };
@@ -76,7 +76,7 @@
     Problem problem;
 };
 
-// Call onTime() at this time.
+// Call onTimer() at this time.
 struct Wait {
     MonotonicTime until;
 };
@@ -84,7 +84,7 @@
 // The target is gone or does not have the generation any more. For the policy and for crash suspects.
 struct ReportLost {
     std::string target;
-    UpstreamEnd end;
+    EngineStreamEnd end;
 };
 
 } // namespace SessionAction
@@ -108,7 +108,7 @@
     struct Options {
         std::string generation;
         // Whether another engine can continue the generation exactly. Otherwise tokens are held back until the engine has finished.
-        bool continuesExactly = false;
+        bool canContinueExactly = false;
         // Position to go on from, for a caller that came back.
         std::optional<Cursor> cursor;
         // A generation that makes no progress for this time is given up.
@@ -124,14 +124,14 @@
     GenerationActions start(MonotonicTime now);
     GenerationActions onPlaced(const std::string &target, MonotonicTime now);
     // The policy has no target. A generation of which nothing was delivered fails at once with the problem; a started one waits.
-    GenerationActions onRefused(const Problem &problem, MonotonicTime now);
+    GenerationActions onPlacementRejected(const Problem &problem, MonotonicTime now);
     // The request must not run again, whether it has started or not.
     GenerationActions giveUp(const Problem &problem);
     // The policy asks to wait for a target.
-    GenerationActions onHeld(MonotonicTime until, MonotonicTime now);
+    GenerationActions onPlacementDelayed(MonotonicTime until, MonotonicTime now);
     GenerationActions onLine(const EngineLine &line, MonotonicTime now);
-    GenerationActions onUpstreamEnd(UpstreamEnd end, MonotonicTime now);
-    GenerationActions onTime(MonotonicTime now);
+    GenerationActions onEngineStreamEnd(EngineStreamEnd end, MonotonicTime now);
+    GenerationActions onTimer(MonotonicTime now);
 
     bool isOver() const
     {
@@ -163,7 +163,7 @@
     GenerationActions fail(ErrorKind kind, const std::string &detail);
     GenerationActions acceptToken(const EngineLine &line, MonotonicTime now);
     GenerationActions acceptDone(const EngineLine &line);
-    GenerationActions loseTarget(UpstreamEnd end, MonotonicTime now);
+    GenerationActions loseTarget(EngineStreamEnd end, MonotonicTime now);
     GenerationActions placeAgain(MonotonicTime now);
     GenerationActions resumeSameTarget();
     bool timedOut(MonotonicTime now) const;
--- a/Libraries/LibMembership/CrashCarrier.cpp
+++ b/Libraries/LibMembership/CrashReportBuffer.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/CrashCarrier.h>
+#include <LibMembership/CrashReportBuffer.h>
 
 #include <algorithm>
 #include <cstring>
@@ -26,7 +26,7 @@
 
 } // namespace
 
-bool CrashCarrier::merge(const CrashReport &report, int sendings)
+bool CrashReportBuffer::merge(const CrashReport &report, int sendings)
 {
     if (!m_entries.contains(report.crash) && m_entries.size() >= MaxReports) {
         const auto oldest
@@ -63,7 +63,7 @@
     return changed;
 }
 
-std::vector<Wire::CrashRecord> CrashCarrier::take(MonotonicTime now)
+std::vector<Wire::CrashRecord> CrashReportBuffer::take(MonotonicTime now)
 {
     std::vector<Wire::CrashRecord> records;
     auto next = m_entries.upper_bound(m_lastTaken);
@@ -82,12 +82,12 @@
     return records;
 }
 
-void CrashCarrier::forgetOld(MonotonicTime now)
+void CrashReportBuffer::forgetOld(MonotonicTime now)
 {
     std::erase_if(m_entries, [now](const auto &entry) { return now - entry.second.report.at > KeepTime; });
 }
 
-std::vector<CrashReport> CrashCarrier::reports() const
+std::vector<CrashReport> CrashReportBuffer::reports() const
 {
     std::vector<CrashReport> reports;
     reports.reserve(m_entries.size());
@@ -97,7 +97,7 @@
     return reports;
 }
 
-CrashReport CrashCarrier::fromWire(const Wire::CrashRecord &record, MonotonicTime now)
+CrashReport CrashReportBuffer::fromWire(const Wire::CrashRecord &record, MonotonicTime now)
 {
     CrashReport report {
         .crash = record.crash, .fingerprints = {}, .truncated = record.truncated, .at = now - std::chrono::seconds(std::max(0, record.ageSeconds))};
--- a/Libraries/LibMembership/CrashCarrier.h
+++ b/Libraries/LibMembership/CrashReportBuffer.h
@@ -20,7 +20,7 @@
 };
 
 // Carries crash reports between gateways in bounded memory and bounded datagrams. What follows from them is decided elsewhere.
-class CrashCarrier
+class CrashReportBuffer
 {
 public:
     static constexpr size_t MaxReports = 256;
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -77,7 +77,7 @@
         return m_socket->counters();
     }
     // Received datagrams that were malformed or signed with another key.
-    uint64_t refusedDatagrams() const
+    uint64_t rejectedDatagrams() const
     {
         return m_refused;
     }
--- a/Libraries/LibMembership/MembershipView.cpp
+++ b/Libraries/LibMembership/MembershipView.cpp
@@ -97,7 +97,7 @@
         takeDigest(digest, heartbeat.documentVersion, now, wanted);
     }
     for (const auto &crash : heartbeat.crashes) {
-        reportCrash(CrashCarrier::fromWire(crash, now), now);
+        reportCrash(CrashReportBuffer::fromWire(crash, now), now);
     }
     std::vector<OutgoingHeartbeat> answers;
     if (!heartbeat.wanted.empty()) {
@@ -298,7 +298,7 @@
 
 void MembershipView::reportCrash(const CrashReport &report, MonotonicTime now)
 {
-    if (now - report.at > CrashCarrier::KeepTime || !m_crashes.merge(report, sendings())) {
+    if (now - report.at > CrashReportBuffer::KeepTime || !m_crashes.merge(report, sendings())) {
         return;
     }
     m_events.push_back({.change = MembershipChange::CrashReported, .member = {}});
--- a/Libraries/LibMembership/MembershipView.h
+++ b/Libraries/LibMembership/MembershipView.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/HybridClock.h>
-#include <LibMembership/CrashCarrier.h>
+#include <LibMembership/CrashReportBuffer.h>
 #include <LibMembership/MemberTable.h>
 #include <LibMembership/PeerPlan.h>
 #include <Membership_types.h>
@@ -148,7 +148,7 @@
     const uint32_t m_ownHash;
     OwnState m_own;
     MemberTable m_table;
-    CrashCarrier m_crashes;
+    CrashReportBuffer m_crashes;
     int64_t m_sequence = 0;
     bool m_departed = false;
     bool m_replaced = false;
--- a/Libraries/LibOneTime/OneTimeCall.cpp
+++ b/Libraries/LibOneTime/OneTimeCall.cpp
@@ -58,10 +58,10 @@
         return steps;
     }
     ++m_resolves;
-    return {Pause {m_options.readPause}};
+    return {Delay {m_options.readPause}};
 }
 
-OneTimeSteps OneTimeCall::onTime()
+OneTimeSteps OneTimeCall::onTimer()
 {
     return {ReadClaim {}};
 }
@@ -74,7 +74,7 @@
     if (now - m_begin > m_options.claimDeadline) {
         return refuse(ErrorKind::OutcomeUnknown, "another request with this idempotency key has not finished");
     }
-    return {Pause {m_options.readPause}};
+    return {Delay {m_options.readPause}};
 }
 
 OneTimeSteps OneTimeCall::onRead(const std::optional<ClaimRow> &row, MonotonicTime now)
@@ -105,8 +105,8 @@
     }
     switch (record.state) {
     case ClaimState::Done:
-        return {Answer {
-            .answer = {.end = CallEnd::Answered, .status = record.status, .contentType = record.contentType, .body = record.body},
+        return {Respond {
+            .response = {.end = CallEnd::Responded, .status = record.status, .contentType = record.contentType, .body = record.body},
             .isReplay = true,
         }};
     case ClaimState::NotRun:
@@ -124,7 +124,7 @@
     if (now - m_begin > m_options.claimDeadline) {
         return refuse(ErrorKind::OutcomeUnknown, "another request with this idempotency key has not finished");
     }
-    return {Pause {m_options.readPause}};
+    return {Delay {m_options.readPause}};
 }
 
 OneTimeSteps OneTimeCall::onOwned(uint64_t revision, MonotonicTime now)
@@ -144,14 +144,14 @@
     return {SendCall {}};
 }
 
-OneTimeSteps OneTimeCall::onCalled(const CallAnswer &answer)
+OneTimeSteps OneTimeCall::onCalled(const CallResponse &response)
 {
     OneTimeSteps steps;
     OneTimeSteps last;
-    switch (answer.end) {
-    case CallEnd::Answered:
-        steps = record(ClaimState::Done, answer);
-        last = {Answer {.answer = answer}};
+    switch (response.end) {
+    case CallEnd::Responded:
+        steps = record(ClaimState::Done, response);
+        last = {Respond {.response = response}};
         break;
     case CallEnd::NotSent:
         steps = record(ClaimState::NotRun, {});
@@ -166,7 +166,7 @@
     return steps;
 }
 
-std::string OneTimeCall::outcomeText(ClaimState state, const CallAnswer &answer) const
+std::string OneTimeCall::outcomeText(ClaimState state, const CallResponse &response) const
 {
     const ClaimRecord outcome {
         .state = state,
@@ -174,21 +174,21 @@
         .bodyDigest = m_options.bodyDigest,
         .gateway = m_options.gateway,
         .wallMs = m_options.wallMs,
-        .status = answer.status,
-        .contentType = answer.contentType,
-        .body = answer.body,
+        .status = response.status,
+        .contentType = response.contentType,
+        .body = response.body,
     };
     return outcome.toText();
 }
 
-OneTimeSteps OneTimeCall::record(ClaimState state, const CallAnswer &answer) const
+OneTimeSteps OneTimeCall::record(ClaimState state, const CallResponse &response) const
 {
-    return {RecordOutcome {.value = outcomeText(state, answer), .revision = m_revision}};
+    return {RecordOutcome {.value = outcomeText(state, response), .revision = m_revision}};
 }
 
 OneTimeSteps OneTimeCall::refuse(ErrorKind kind, const std::string &detail)
 {
-    return {Refuse {{.kind = kind, .detail = detail, .retryAfter = errorKindInfo(kind).retryAfter}}};
+    return {Reject {{.kind = kind, .detail = detail, .retryAfter = errorKindInfo(kind).retryAfter}}};
 }
 
 } // namespace Jujube
--- a/Libraries/LibOneTime/OneTimeCall.h
+++ b/Libraries/LibOneTime/OneTimeCall.h
@@ -28,14 +28,14 @@
 
 // How the call to the target ended.
 enum class CallEnd {
-    Answered,
+    Responded,
     // No byte of the call reached the target.
     NotSent,
     // The call was sent and its answer is missing or incomplete.
     Unknown,
 };
 
-struct CallAnswer {
+struct CallResponse {
     CallEnd end = CallEnd::NotSent;
     int status = 0;
     std::string contentType;
@@ -45,17 +45,17 @@
 namespace OneTimeAction
 {
 
-// Write the row if its revision is the given one; 0 means that it must be absent. Answered with onWritten().
+// Write the row if its revision is the given one; 0 means that it must be absent. Responded with onWritten().
 struct WriteClaim {
     std::string value;
     uint64_t revision;
 };
 
-// Read the row. Answered with onRead().
+// Read the row. Responded with onRead().
 struct ReadClaim {
 };
 
-// Send the call to the target, once, over a new connection. Answered with onCalled().
+// Send the call to the target, once, over a new connection. Responded with onCalled().
 struct SendCall {
 };
 
@@ -71,19 +71,19 @@
     std::string notRunValue;
 };
 
-// Call onTime() after this pause.
-struct Pause {
+// Call onTimer() after this pause.
+struct Delay {
     std::chrono::milliseconds time;
 };
 
-// Answer the caller and end.
-struct Answer {
-    CallAnswer answer;
+// Respond the caller and end.
+struct Respond {
+    CallResponse response;
     // Whether the answer was recorded by an earlier request with the same key.
     bool isReplay = false;
 };
 
-struct Refuse {
+struct Reject {
     Problem problem;
 };
 
@@ -94,9 +94,9 @@
                                  OneTimeAction::SendCall,
                                  OneTimeAction::RecordOutcome,
                                  OneTimeAction::ReleaseClaim,
-                                 OneTimeAction::Pause,
-                                 OneTimeAction::Answer,
-                                 OneTimeAction::Refuse>;
+                                 OneTimeAction::Delay,
+                                 OneTimeAction::Respond,
+                                 OneTimeAction::Reject>;
 using OneTimeSteps = std::vector<OneTimeStep>;
 
 // Runs a call that must not run twice (design, section 9). The call is sent only by the request whose claim is in the table, and by it only once, so that a
@@ -125,8 +125,8 @@
     OneTimeSteps onReadFailed(MonotonicTime now);
     // No row means that the key is absent.
     OneTimeSteps onRead(const std::optional<ClaimRow> &row, MonotonicTime now);
-    OneTimeSteps onCalled(const CallAnswer &answer);
-    OneTimeSteps onTime();
+    OneTimeSteps onCalled(const CallResponse &response);
+    OneTimeSteps onTimer();
 
 private:
     OneTimeSteps onRow(const ClaimRow &row, MonotonicTime now);
@@ -134,8 +134,8 @@
     OneTimeSteps onOwned(uint64_t revision, MonotonicTime now);
     OneTimeSteps resolveOrRefuse();
     OneTimeSteps writeClaim(uint64_t revision);
-    std::string outcomeText(ClaimState state, const CallAnswer &answer) const;
-    OneTimeSteps record(ClaimState state, const CallAnswer &answer) const;
+    std::string outcomeText(ClaimState state, const CallResponse &response) const;
+    OneTimeSteps record(ClaimState state, const CallResponse &response) const;
     static OneTimeSteps refuse(ErrorKind kind, const std::string &detail);
 
     const Options m_options;
--- a/Libraries/LibPlatform/PlatformGate.cpp
+++ b/Libraries/LibPlatform/PlatformRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include <LibPlatform/PlatformGate.h>
+#include <LibPlatform/PlatformRateLimiter.h>
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 namespace Jujube
 {
 
-PlatformGate::PlatformGate(Options options, MonotonicTime now, double random)
+PlatformRateLimiter::PlatformRateLimiter(Options options, MonotonicTime now, double random)
     : m_options(options)
     , m_nextProbe(now)
     , m_random(random)
@@ -17,19 +17,19 @@
     }
 }
 
-RequestBudget &PlatformGate::budget(PlatformUse use)
+RequestBudget &PlatformRateLimiter::budget(PlatformUse use)
 {
     return m_budgets.at(static_cast<size_t>(use));
 }
 
-double PlatformGate::fractionFor(PlatformUse use) const
+double PlatformRateLimiter::fractionFor(PlatformUse use) const
 {
     // Multiples of the golden ratio spread the uses of one process, so that they do not send in step either.
     constexpr double GoldenRatio = 0.6180339887;
     return std::fmod(m_random + static_cast<double>(use) * GoldenRatio, 1.0);
 }
 
-bool PlatformGate::admit(PlatformUse use, MonotonicTime now)
+bool PlatformRateLimiter::admit(PlatformUse use, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     if (m_failures < m_options.failuresForOutage) {
@@ -43,7 +43,7 @@
     return true;
 }
 
-void PlatformGate::onAnswered(MonotonicTime now)
+void PlatformRateLimiter::onResponse(MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     if (m_failures >= m_options.failuresForOutage) {
@@ -54,7 +54,7 @@
     m_failures = 0;
 }
 
-void PlatformGate::onFailed(MonotonicTime now, double random)
+void PlatformRateLimiter::onFailure(MonotonicTime now, double random)
 {
     const std::lock_guard lock(m_mutex);
     // The cap of the counter only keeps it from overflowing in a long outage.
@@ -66,13 +66,13 @@
     }
 }
 
-bool PlatformGate::isOutage() const
+bool PlatformRateLimiter::isOutage() const
 {
     const std::lock_guard lock(m_mutex);
     return m_failures >= m_options.failuresForOutage;
 }
 
-std::chrono::milliseconds PlatformGate::timeUntilAdmission(PlatformUse use, MonotonicTime now) const
+std::chrono::milliseconds PlatformRateLimiter::timeUntilAdmission(PlatformUse use, MonotonicTime now) const
 {
     const std::lock_guard lock(m_mutex);
     if (m_failures < m_options.failuresForOutage) {
@@ -82,7 +82,7 @@
     return std::max(std::chrono::milliseconds(0), wait);
 }
 
-void PlatformGate::setNodes(int nodes, MonotonicTime now)
+void PlatformRateLimiter::setNodes(int nodes, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     for (const auto &info : platformUses()) {
--- a/Libraries/LibPlatform/PlatformGate.h
+++ b/Libraries/LibPlatform/PlatformRateLimiter.h
@@ -12,7 +12,7 @@
 // Decides which requests a process may send to the platform: within the budget of each use, and during an outage only single reads after jittered pauses.
 // After an outage every budget starts with a random fraction of a token, so that what gathered in the meantime is not sent at once. With empty budgets
 // instead, a simulation of 390 nodes sent 340 writes in one second, because nodes that came back together stayed in step. Safe to use from several threads.
-class PlatformGate
+class PlatformRateLimiter
 {
 public:
     struct Options {
@@ -26,16 +26,16 @@
     };
 
     // The random number is from [0, 1).
-    PlatformGate(Options options, MonotonicTime now, double random);
+    PlatformRateLimiter(Options options, MonotonicTime now, double random);
 
     // Takes a token of the use's budget. False means that the request must not be sent now. During an outage, no write is admitted, and one read at a time is.
     bool admit(PlatformUse use, MonotonicTime now);
 
     // The platform answered, whatever the answer says.
-    void onAnswered(MonotonicTime now);
+    void onResponse(MonotonicTime now);
 
     // The platform did not answer or answered that it is down. The random number is from [0, 1).
-    void onFailed(MonotonicTime now, double random);
+    void onFailure(MonotonicTime now, double random);
 
     bool isOutage() const;
 
--- a/Libraries/LibPlatform/TableClient.cpp
+++ b/Libraries/LibPlatform/TableClient.cpp
@@ -134,7 +134,7 @@
 void TableClient::addCurrentRow(WriteResult &result, std::string_view key) const
 {
     const auto current = get(key);
-    result.currentKnown = current.end != ReadEnd::Failed;
+    result.isCurrentKnown = current.end != ReadEnd::Failed;
     if (current.end == ReadEnd::Found) {
         result.current = current.row;
     }
@@ -203,11 +203,11 @@
         if (result.end == WriteEnd::Done || (result.end == WriteEnd::NotDone && !answerWasLost)) {
             return result;
         }
-        if (result.currentKnown && result.current && isOwn(result.current->value)) {
+        if (result.isCurrentKnown && result.current && isOwn(result.current->value)) {
             return {.end = WriteEnd::Done, .revision = result.current->revision};
         }
         const int64_t currentRevision = result.current ? result.current->revision : 0;
-        if (result.currentKnown && currentRevision != revision) {
+        if (result.isCurrentKnown && currentRevision != revision) {
             result.end = WriteEnd::Conflict;
             return result;
         }
--- a/Libraries/LibPlatform/TableRow.h
+++ b/Libraries/LibPlatform/TableRow.h
@@ -56,7 +56,7 @@
     // The row's revision after the write. Valid if end is Done.
     int64_t revision = 0;
     // Whether `current` holds the answer of a read after a conflict. False if that read failed.
-    bool currentKnown = false;
+    bool isCurrentKnown = false;
     // The row that stands in the way. Nothing if the row does not exist.
     std::optional<TableRow> current;
     std::string error;
--- a/Services/Controller/Controller.cpp
+++ b/Services/Controller/Controller.cpp
@@ -88,11 +88,11 @@
 
 ControlContext Controller::makeContext(const Settings &settings)
 {
-    const PlatformGate::Options gateOptions {.nodes = static_cast<int>(settings.number("nodes"))};
+    const PlatformRateLimiter::Options gateOptions {.nodes = static_cast<int>(settings.number("nodes"))};
     return {.now = leaseClockNow,
             .random = [this] { return random(); },
             .send = [this](HttpCall call, std::function<void(const HttpAnswer &)> onEnd) { m_http->open(std::move(call), {.onEnd = std::move(onEnd)}); },
-            .gate = std::make_shared<PlatformGate>(gateOptions, leaseClockNow(), random()),
+            .gate = std::make_shared<PlatformRateLimiter>(gateOptions, leaseClockNow(), random()),
             .record = [this](EventKind kind, const std::string &target, const std::string &detail) { record(kind, target, detail); }};
 }
 
--- a/Tests/LibControl/ControlFixture.cpp
+++ b/Tests/LibControl/ControlFixture.cpp
@@ -50,7 +50,7 @@
     return {.now = [this] { return m_now; },
             .random = [] { return 0.5; },
             .send = [this](const HttpCall &call, const std::function<void(const HttpAnswer &)> &onEnd) { send(call, onEnd); },
-            .gate = std::make_shared<PlatformGate>(PlatformGate::Options {.nodes = 8}, m_now, 0.5),
+            .gate = std::make_shared<PlatformRateLimiter>(PlatformRateLimiter::Options {.nodes = 8}, m_now, 0.5),
             .record = [this](EventKind kind, const std::string &, const std::string &) { m_refusals += kind == EventKind::OrderRefused ? 1 : 0; }};
 }
 
--- a/Tests/LibControl/FakeRow.h
+++ b/Tests/LibControl/FakeRow.h
@@ -20,7 +20,7 @@
     WriteResult write(const std::string &value, int64_t revision)
     {
         if (revision != m_row.revision) {
-            WriteResult conflict {.end = WriteEnd::Conflict, .currentKnown = true};
+            WriteResult conflict {.end = WriteEnd::Conflict, .isCurrentKnown = true};
             if (m_row.revision > 0) {
                 conflict.current = m_row;
             }
--- a/Tests/LibControl/TestWantedState.cpp
+++ b/Tests/LibControl/TestWantedState.cpp
@@ -75,7 +75,7 @@
 {
     const ControlContext context {.now = [this] { return m_now; },
                                   .random = [] { return 0.5; },
-                                  .gate = std::make_shared<PlatformGate>(PlatformGate::Options {}, m_now, 0.5),
+                                  .gate = std::make_shared<PlatformRateLimiter>(PlatformRateLimiter::Options {}, m_now, 0.5),
                                   .record = [](EventKind, const std::string &, const std::string &) {}};
     DocumentDuty duty("production", table(), objects(), context);
     const auto step = [&] {
--- a/Tests/LibGeneration/TestGenerationSession.cpp
+++ b/Tests/LibGeneration/TestGenerationSession.cpp
@@ -50,7 +50,7 @@
 // Delivers count tokens of attempt 1 from target "e1".
 GenerationSession startedSession(bool exact, int32_t count, MonotonicTime now)
 {
-    GenerationSession session({.generation = Generation, .continuesExactly = exact, .cursor = std::nullopt}, now);
+    GenerationSession session({.generation = Generation, .canContinueExactly = exact, .cursor = std::nullopt}, now);
     session.start(now);
     session.onPlaced("e1", now);
     for (int32_t i = 0; i < count; ++i) {
@@ -66,7 +66,7 @@
 {
     const MonotonicTime now;
     auto session = startedSession(true, 3, now);
-    ASSERT_NE(find<Place>(session.onUpstreamEnd(UpstreamEnd::Unreachable, now)), nullptr);
+    ASSERT_NE(find<Place>(session.onEngineStreamEnd(EngineStreamEnd::Unreachable, now)), nullptr);
     const auto actions = session.onPlaced("e2", now);
     const auto *generate = find<Generate>(actions);
     ASSERT_NE(generate, nullptr);
@@ -83,7 +83,7 @@
 {
     const MonotonicTime now;
     auto session = startedSession(true, 3, now);
-    const auto actions = session.onUpstreamEnd(UpstreamEnd::Silent, now);
+    const auto actions = session.onEngineStreamEnd(EngineStreamEnd::Silent, now);
     const auto *resume = find<Resume>(actions);
     ASSERT_NE(resume, nullptr);
     EXPECT_EQ(resume->target, "e1");
@@ -103,9 +103,9 @@
     checksum.add(tokenAt(1));
     const Cursor cursor {.generation = Generation, .attempt = 1, .target = "e1", .nextOffset = 2, .checksum = checksum.value()};
     for (const bool differs : {false, true}) {
-        GenerationSession session({.generation = Generation, .continuesExactly = true, .cursor = cursor}, now);
+        GenerationSession session({.generation = Generation, .canContinueExactly = true, .cursor = cursor}, now);
         session.start(now);
-        session.onUpstreamEnd(UpstreamEnd::Unreachable, now);
+        session.onEngineStreamEnd(EngineStreamEnd::Unreachable, now);
         const auto placed = session.onPlaced("e2", now);
         ASSERT_NE(find<Generate>(placed), nullptr);
         EXPECT_TRUE(find<Generate>(placed)->tokens.empty());
@@ -123,11 +123,11 @@
 TEST(GenerationSession, HoldsBackWhatCannotBeContinued)
 {
     const MonotonicTime now;
-    GenerationSession session({.generation = Generation, .continuesExactly = false, .cursor = std::nullopt}, now);
+    GenerationSession session({.generation = Generation, .canContinueExactly = false, .cursor = std::nullopt}, now);
     session.start(now);
     session.onPlaced("e1", now);
     EXPECT_TRUE(session.onLine(token(1, 0, " first"), now).empty());
-    EXPECT_NE(find<Place>(session.onUpstreamEnd(UpstreamEnd::Unreachable, now)), nullptr);
+    EXPECT_NE(find<Place>(session.onEngineStreamEnd(EngineStreamEnd::Unreachable, now)), nullptr);
     session.onPlaced("e2", now);
     EXPECT_TRUE(session.onLine(token(2, 0, " second"), now).empty());
     const auto actions = session.onLine(done(2, 1), now);
@@ -152,15 +152,15 @@
 {
     const MonotonicTime now;
     auto session = startedSession(true, 3, now);
-    session.onUpstreamEnd(UpstreamEnd::Unreachable, now);
+    session.onEngineStreamEnd(EngineStreamEnd::Unreachable, now);
     const Problem overloaded {.kind = ErrorKind::Overloaded, .detail = "full"};
-    EXPECT_NE(find<Wait>(session.onRefused(overloaded, now)), nullptr);
-    EXPECT_NE(find<Place>(session.onTime(now + 1s)), nullptr);
-    EXPECT_NE(find<Fail>(session.onRefused(overloaded, now + 11min)), nullptr);
+    EXPECT_NE(find<Wait>(session.onPlacementRejected(overloaded, now)), nullptr);
+    EXPECT_NE(find<Place>(session.onTimer(now + 1s)), nullptr);
+    EXPECT_NE(find<Fail>(session.onPlacementRejected(overloaded, now + 11min)), nullptr);
 
-    GenerationSession fresh({.generation = Generation, .continuesExactly = true, .cursor = std::nullopt}, now);
+    GenerationSession fresh({.generation = Generation, .canContinueExactly = true, .cursor = std::nullopt}, now);
     fresh.start(now);
-    EXPECT_NE(find<Fail>(fresh.onRefused(overloaded, now)), nullptr);
+    EXPECT_NE(find<Fail>(fresh.onPlacementRejected(overloaded, now)), nullptr);
 }
 
 // Guards against tokens that are lost, doubled, out of order or from two generations under any order of failures: random ends of streams, repeated lines,
@@ -176,7 +176,7 @@
         bool complete = false;
         while (!complete) {
             GenerationSession session(
-                {.generation = Generation, .continuesExactly = true, .cursor = cursor.target.empty() ? std::nullopt : std::optional(cursor)}, now);
+                {.generation = Generation, .canContinueExactly = true, .cursor = cursor.target.empty() ? std::nullopt : std::optional(cursor)}, now);
             auto actions = session.start(now);
             int32_t attempt = 0;
             int32_t position = 0;
@@ -216,7 +216,7 @@
                 now += 10ms;
                 switch (random() % 12) {
                 case 0:
-                    actions = session.onUpstreamEnd(static_cast<UpstreamEnd>(random() % 6), now);
+                    actions = session.onEngineStreamEnd(static_cast<EngineStreamEnd>(random() % 6), now);
                     break;
                 case 1:
                     actions = session.onLine(token(attempt - 1, position, " stale"), now);
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -58,7 +58,7 @@
 {
     auto first = *Membership::start(optionsFor("a", "key", {}));
     auto foreign = *Membership::start(optionsFor("x", "other key", {first->gossipAddress()}));
-    waitFor([&] { return first->refusedDatagrams() >= 3; });
+    waitFor([&] { return first->rejectedDatagrams() >= 3; });
     EXPECT_TRUE(first->members(monotonicNow()).empty());
 }
 
--- a/Tests/LibMembership/TestMembershipView.cpp
+++ b/Tests/LibMembership/TestMembershipView.cpp
@@ -293,14 +293,14 @@
         ASSERT_EQ(reports.size(), 3) << i;
         EXPECT_THAT(reports[1].fingerprints, testing::UnorderedElementsAre(7, 8, 9));
     }
-    CrashCarrier many;
-    CrashCarrier large;
+    CrashReportBuffer many;
+    CrashReportBuffer large;
     for (uint64_t i = 0; i < 1000; ++i) {
         many.merge({.crash = static_cast<int64_t>(i), .at = cluster.now() + std::chrono::seconds(i)}, 1);
         large.merge({.crash = 1, .fingerprints = {i}, .at = cluster.now()}, 1);
     }
-    EXPECT_EQ(many.reports().size(), CrashCarrier::MaxReports);
-    EXPECT_EQ(large.reports().front().fingerprints.size(), CrashCarrier::MaxFingerprints);
+    EXPECT_EQ(many.reports().size(), CrashReportBuffer::MaxReports);
+    EXPECT_EQ(large.reports().front().fingerprints.size(), CrashReportBuffer::MaxFingerprints);
     EXPECT_TRUE(large.reports().front().truncated);
 }
 
--- a/Tests/LibOneTime/TestOneTimeCall.cpp
+++ b/Tests/LibOneTime/TestOneTimeCall.cpp
@@ -76,9 +76,9 @@
             }
         } else if (const auto *release = std::get_if<ReleaseClaim>(&step)) {
             releaseClaim(*release);
-        } else if (std::get_if<Pause>(&step)) {
-            push(m_call.onTime());
-        } else if (const auto *refuse = std::get_if<Refuse>(&step)) {
+        } else if (std::get_if<Delay>(&step)) {
+            push(m_call.onTimer());
+        } else if (const auto *refuse = std::get_if<Reject>(&step)) {
             m_problem = refuse->problem;
         }
     }
@@ -117,7 +117,7 @@
         }
         ++m_runs;
         m_ran = true;
-        push(m_call.onCalled(chance(4) ? CallAnswer {.end = CallEnd::Unknown} : CallAnswer {.end = CallEnd::Answered, .status = 200}));
+        push(m_call.onCalled(chance(4) ? CallResponse {.end = CallEnd::Unknown} : CallResponse {.end = CallEnd::Responded, .status = 200}));
     }
 
     void releaseClaim(const ReleaseClaim &release)
@@ -183,7 +183,7 @@
     call.start();
     const auto steps = call.onWritten(ClaimWriteEnd::Conflict, {.value = other.toText(), .revision = 7}, now);
     ASSERT_EQ(steps.size(), 1);
-    EXPECT_EQ(std::get<Refuse>(steps[0]).problem.kind, ErrorKind::IdempotencyKeyReused);
+    EXPECT_EQ(std::get<Reject>(steps[0]).problem.kind, ErrorKind::IdempotencyKeyReused);
 }
 
 // Guards against a holder that was frozen past its deadline sending a call whose outcome others were told is unknown.
@@ -195,7 +195,7 @@
     const auto steps = call.onWritten(ClaimWriteEnd::Done, {.value = "", .revision = 1}, now + 1min);
     ASSERT_EQ(steps.size(), 2);
     EXPECT_EQ(ClaimRecord::fromText(std::get<RecordOutcome>(steps[0]).value)->state, ClaimState::NotRun);
-    EXPECT_EQ(std::get<Refuse>(steps[1]).problem.kind, ErrorKind::PlatformUnavailable);
+    EXPECT_EQ(std::get<Reject>(steps[1]).problem.kind, ErrorKind::PlatformUnavailable);
 }
 
 // Guards against a call being sent without a record when the table service is down.
@@ -206,7 +206,7 @@
     call.start();
     const auto steps = call.onWritten(ClaimWriteEnd::NotDone, {}, now);
     ASSERT_EQ(steps.size(), 1);
-    EXPECT_EQ(std::get<Refuse>(steps[0]).problem.kind, ErrorKind::PlatformUnavailable);
+    EXPECT_EQ(std::get<Reject>(steps[0]).problem.kind, ErrorKind::PlatformUnavailable);
 }
 
 // Guards against a recorded answer being lost: the same key gets the first answer again.
@@ -219,8 +219,8 @@
     call.start();
     const auto steps = call.onWritten(ClaimWriteEnd::Conflict, {.value = record.toText(), .revision = 7}, now);
     ASSERT_EQ(steps.size(), 1);
-    EXPECT_EQ(std::get<Answer>(steps[0]).answer.body, "paid");
-    EXPECT_TRUE(std::get<Answer>(steps[0]).isReplay);
+    EXPECT_EQ(std::get<Respond>(steps[0]).response.body, "paid");
+    EXPECT_TRUE(std::get<Respond>(steps[0]).isReplay);
 }
 
 } // namespace Jujube
--- a/Tests/LibPlatform/TestPlatformBudget.cpp
+++ b/Tests/LibPlatform/TestPlatformBudget.cpp
@@ -1,4 +1,4 @@
-#include <LibPlatform/PlatformGate.h>
+#include <LibPlatform/PlatformRateLimiter.h>
 
 #include <absl/strings/str_format.h>
 #include <fstream>
@@ -37,9 +37,9 @@
 {
     std::mt19937 random(7);
     std::uniform_real_distribution<double> unit(0, 1);
-    std::vector<std::unique_ptr<PlatformGate>> gates;
+    std::vector<std::unique_ptr<PlatformRateLimiter>> gates;
     for (int i = 0; i < nodes; ++i) {
-        gates.push_back(std::make_unique<PlatformGate>(PlatformGate::Options {.nodes = nodes}, Start, unit(random)));
+        gates.push_back(std::make_unique<PlatformRateLimiter>(PlatformRateLimiter::Options {.nodes = nodes}, Start, unit(random)));
     }
     const auto outageEnd = Start + 60s + outage;
     Peak peak;
@@ -53,9 +53,9 @@
                     while (hasUse && gate.admit(info.use, now)) {
                         ++(info.isWrite ? counted.writes : counted.reads);
                         if (now < outageEnd) {
-                            gate.onFailed(now, unit(random));
+                            gate.onFailure(now, unit(random));
                         } else {
-                            gate.onAnswered(now);
+                            gate.onResponse(now);
                         }
                     }
                 }
@@ -113,13 +113,13 @@
 }
 
 // Guards against writes being sent into an outage, where each one ends with an unknown effect, and against many probes at once.
-TEST(PlatformGate, ProbesWithSingleReadsDuringAnOutage)
+TEST(PlatformRateLimiter, ProbesWithSingleReadsDuringAnOutage)
 {
-    PlatformGate gate({.nodes = 8}, Start, 0);
+    PlatformRateLimiter gate({.nodes = 8}, Start, 0);
     auto now = Start + 60s;
     for (int i = 0; i < 3; ++i) {
         EXPECT_FALSE(gate.isOutage());
-        gate.onFailed(now, 0.5);
+        gate.onFailure(now, 0.5);
     }
     EXPECT_TRUE(gate.isOutage());
     EXPECT_FALSE(gate.admit(PlatformUse::DocumentHead, now));
@@ -127,7 +127,7 @@
     EXPECT_FALSE(gate.admit(PlatformUse::Claim, now));
     EXPECT_TRUE(gate.admit(PlatformUse::DocumentHead, now));
     EXPECT_FALSE(gate.admit(PlatformUse::VmList, now));
-    gate.onAnswered(now);
+    gate.onResponse(now);
     // Twelve tokens would have gathered in the second before the outage alone.
     int admitted = 0;
     while (gate.admit(PlatformUse::Claim, now)) {
--- a/Utilities/MembershipProbe/main.cpp
+++ b/Utilities/MembershipProbe/main.cpp
@@ -68,7 +68,7 @@
             {"processor_share", (after.processorSeconds - before.processorSeconds) / seconds},
             {"resident_kib", usage.ru_maxrss},
             {"live", membership.liveMembers(after.at).size()},
-            {"refused", membership.refusedDatagrams()}};
+            {"refused", membership.rejectedDatagrams()}};
 }
 
 } // namespace
