--- a/Libraries/LibGeneration/Cursor.cpp
+++ b/Libraries/LibGeneration/Cursor.cpp
@@ -16,8 +16,8 @@
 {
 
 constexpr size_t MacBytes = 16;
-constexpr size_t MaxTextBytes = 1024;
-constexpr size_t GenerationBytes = 16;
+constexpr size_t MaxCursorTextBytes = 1024;
+constexpr size_t GenerationIdBytes = 16;
 
 absl::Status invalidCursor()
 {
@@ -70,18 +70,19 @@
 absl::StatusOr<Cursor> CursorCodec::decode(std::string_view text) const
 {
     std::string bytes;
-    if (text.size() > MaxTextBytes || !absl::WebSafeBase64Unescape(toAbsl(text), &bytes) || bytes.size() <= MacBytes) {
+    if (text.size() > MaxCursorTextBytes || !absl::WebSafeBase64Unescape(toAbsl(text), &bytes) || bytes.size() <= MacBytes) {
         return invalidCursor();
     }
     const std::string mac = bytes.substr(bytes.size() - MacBytes);
     bytes.resize(bytes.size() - MacBytes);
-    const bool madeWithKey = equalInConstantTime(mac, hmacSha256(m_options.key, bytes).substr(0, MacBytes));
-    const bool madeWithPrevious = !m_options.previousKey.empty() && equalInConstantTime(mac, hmacSha256(m_options.previousKey, bytes).substr(0, MacBytes));
-    if (!madeWithKey && !madeWithPrevious) {
+    const bool isSignedWithKey = equalInConstantTime(mac, hmacSha256(m_options.key, bytes).substr(0, MacBytes));
+    const bool isSignedWithPreviousKey
+        = !m_options.previousKey.empty() && equalInConstantTime(mac, hmacSha256(m_options.previousKey, bytes).substr(0, MacBytes));
+    if (!isSignedWithKey && !isSignedWithPreviousKey) {
         return invalidCursor();
     }
     const auto record = fromThriftCompact<Thrift::CursorRecord>(std::move(bytes));
-    if (!record || record->generation.size() != GenerationBytes || record->nextOffset < 0 || record->attempt < 1) {
+    if (!record || record->generation.size() != GenerationIdBytes || record->nextOffset < 0 || record->attempt < 1) {
         return invalidCursor();
     }
     return fromRecord(*record);
@@ -91,7 +92,7 @@
 {
     constexpr size_t Digits = 16;
     uint64_t value = 0;
-    // Sixteen hexadecimal digits always fit.
+    // Parsing cannot fail, because 16 hexadecimal digits always fit into 64 bits.
     [[maybe_unused]] const bool parsed = absl::SimpleHexAtoi(sha256Hex(body).substr(0, Digits), &value);
     return value;
 }
--- a/Libraries/LibGeneration/Cursor.h
+++ b/Libraries/LibGeneration/Cursor.h
@@ -9,8 +9,8 @@
 namespace Jujube
 {
 
-// A position in a token stream, sent to the caller as the id of each event. Gateways keep no stream state that must survive, so the cursor holds all that
-// any gateway needs to go on with the stream.
+// A position in a token stream, sent to the caller as the id of each event. It holds everything that any gateway needs to resume the stream, so that
+// gateways have no stream state to preserve.
 struct Cursor {
     std::string workspace;
     // 32 hexadecimal digits.
@@ -28,13 +28,13 @@
     bool operator==(const Cursor &) const = default;
 };
 
-// Turns cursors into authenticated text and back: base64url of a Thrift compact struct and a truncated HMAC-SHA-256. Safe to use from several threads.
+// Encodes cursors as authenticated text and decodes them: base64url of a Thrift compact struct and a truncated HMAC-SHA-256. Thread-safe.
 class CursorCodec
 {
 public:
     struct Options {
         std::string key;
-        // Still accepted while the key is being replaced. Empty if there is none.
+        // The previous key, which is still accepted during a key rotation. Empty if there is none.
         std::string previousKey;
     };
 
@@ -42,14 +42,14 @@
 
     std::string encode(const Cursor &cursor) const;
 
-    // Errors: ErrorKind::InvalidCursor if the text was not made with one of the keys.
+    // Errors: ErrorKind::InvalidCursor if the text is malformed or was not signed with one of the keys.
     absl::StatusOr<Cursor> decode(std::string_view text) const;
 
 private:
     const Options m_options;
 };
 
-// The digest of a request body as a cursor holds it.
+// Returns the digest of a request body in the form in which a cursor stores it.
 uint64_t bodyDigest(std::string_view body);
 
 } // namespace Jujube
--- a/Libraries/LibGeneration/EngineLine.h
+++ b/Libraries/LibGeneration/EngineLine.h
@@ -19,12 +19,12 @@
     EngineLineKind kind = EngineLineKind::Invalid;
     std::string generation;
     int32_t attempt = 0;
-    // Index of the token, for tokens.
+    // Index of the token in the generation. Valid for Token.
     int32_t offset = 0;
     std::string text;
-    // Number of tokens of the whole generation, for the last line.
+    // Number of tokens in the whole generation. Valid for Done.
     int32_t count = 0;
-    // Whether the engine says that it is in a cold start.
+    // Whether the engine reports that it is in a cold start.
     bool cold = false;
 };
 
--- a/Libraries/LibGeneration/EngineLineParser.cpp
+++ b/Libraries/LibGeneration/EngineLineParser.cpp
@@ -56,25 +56,25 @@
     for (auto newline = bytes.find('\n'); newline != std::string_view::npos; newline = bytes.find('\n', start)) {
         const auto part = bytes.substr(start, newline - start);
         start = newline + 1;
-        if (m_skipping) {
-            m_skipping = false;
-            m_rest.clear();
+        if (m_isSkippingLine) {
+            m_isSkippingLine = false;
+            m_partialLine.clear();
             continue;
         }
-        if (m_rest.empty()) {
+        if (m_partialLine.empty()) {
             onLine(parseEngineLine(part));
         } else {
-            m_rest.append(part);
-            onLine(parseEngineLine(m_rest));
-            m_rest.clear();
+            m_partialLine.append(part);
+            onLine(parseEngineLine(m_partialLine));
+            m_partialLine.clear();
         }
     }
-    if (!m_skipping) {
-        m_rest.append(bytes.substr(start));
+    if (!m_isSkippingLine) {
+        m_partialLine.append(bytes.substr(start));
     }
-    if (m_rest.size() > MaxLineBytes) {
-        m_rest.clear();
-        m_skipping = true;
+    if (m_partialLine.size() > MaxLineBytes) {
+        m_partialLine.clear();
+        m_isSkippingLine = true;
         onLine({});
     }
 }
--- a/Libraries/LibGeneration/EngineLineParser.h
+++ b/Libraries/LibGeneration/EngineLineParser.h
@@ -7,16 +7,16 @@
 namespace Jujube
 {
 
-// Splits the bytes of an engine's answer into lines and parses each of them. Bytes may be split anywhere, also within a multi-byte character.
+// Splits the bytes of an engine's response into lines and parses each of them. The bytes may be split anywhere, even within a multi-byte character.
 class EngineLineParser
 {
 public:
-    // Calls onLine for each complete line. A line over the limit is reported once as invalid and skipped.
+    // Calls onLine for each complete line. An incomplete line that exceeds the size limit is reported once as invalid, and the rest of it is skipped.
     void feed(std::string_view bytes, const std::function<void(EngineLine)> &onLine);
 
 private:
-    std::string m_rest;
-    bool m_skipping = false;
+    std::string m_partialLine;
+    bool m_isSkippingLine = false;
 };
 
 // Parses one line without its newline.
--- a/Libraries/LibGeneration/GenerationSession.cpp
+++ b/Libraries/LibGeneration/GenerationSession.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-// A generation that has lost this many targets before the caller got a token is refused; it may be the cause.
-constexpr int MaxLossesBeforeDelivery = 4;
+// A generation that has lost this many targets before its first token was delivered fails, because it may have caused the losses.
+constexpr int MaxLostTargetsBeforeDelivery = 4;
 
 StreamAssembler::Options assemblerOptions(const GenerationSession::Options &options)
 {
@@ -31,7 +31,7 @@
 GenerationSession::GenerationSession(Options options, MonotonicTime now)
     : m_options(std::move(options))
     , m_assembler(assemblerOptions(m_options))
-    , m_delivered(m_options.cursor ? m_options.cursor->nextOffset : 0)
+    , m_deliveredTokens(m_options.cursor ? m_options.cursor->nextOffset : 0)
     , m_lastProgress(now)
 {
 }
@@ -51,10 +51,10 @@
     m_target = target;
     m_resuming = false;
     m_resumes = 0;
-    const auto *log = m_assembler.wholeLog();
-    if (m_options.canContinueExactly && log) {
-        m_assembler.beginAttempt(m_assembler.attempt(), static_cast<int32_t>(log->size()));
-        return {Generate {.target = target, .attempt = m_assembler.attempt(), .tokens = *log}};
+    const auto *tokens = m_assembler.allTokens();
+    if (m_options.canContinueExactly && tokens) {
+        m_assembler.beginAttempt(m_assembler.attempt(), static_cast<int32_t>(tokens->size()));
+        return {Generate {.target = target, .attempt = m_assembler.attempt(), .tokens = *tokens}};
     }
     m_assembler.beginAttempt(m_assembler.attempt(), 0);
     return {Generate {.target = target, .attempt = m_assembler.attempt(), .tokens = {}}};
@@ -62,16 +62,16 @@
 
 GenerationActions GenerationSession::onPlacementRejected(const Problem &problem, MonotonicTime now)
 {
-    if (!isDelivered()) {
+    if (!hasDeliveredTokens()) {
         m_over = true;
         return {Fail {problem}};
     }
-    if (timedOut(now)) {
-        return fail(ErrorKind::DeadlineExceeded, "no target took the generation over in time");
+    if (isTimedOut(now)) {
+        return fail(ErrorKind::DeadlineExceeded, "no target became available in time to continue the generation");
     }
-    // Targets that failed earlier may be the only ones left.
+    // Targets that failed earlier become candidates again, because they may be the only ones left.
     m_excluded.clear();
-    return {Wait {now + m_options.placementPause}};
+    return {Wait {now + m_options.placementDelay}};
 }
 
 GenerationActions GenerationSession::giveUp(const Problem &problem)
@@ -82,8 +82,8 @@
 
 GenerationActions GenerationSession::onPlacementDelayed(MonotonicTime until, MonotonicTime now)
 {
-    if (timedOut(now)) {
-        return fail(ErrorKind::DeadlineExceeded, "no target had room for the generation in time");
+    if (isTimedOut(now)) {
+        return fail(ErrorKind::DeadlineExceeded, "no target had capacity for the generation in time");
     }
     return {Wait {until}};
 }
@@ -93,7 +93,7 @@
     if (m_over || !m_target.empty()) {
         return {};
     }
-    if (timedOut(now)) {
+    if (isTimedOut(now)) {
         return fail(ErrorKind::DeadlineExceeded, "the generation made no progress in time");
     }
     return {Place {m_excluded}};
@@ -114,7 +114,7 @@
     case EngineLineKind::Invalid:
         break;
     }
-    return loseTarget(EngineStreamEnd::Broken, now);
+    return handleTargetLoss(EngineStreamEnd::Broken, now);
 }
 
 GenerationActions GenerationSession::acceptToken(const EngineLine &line, MonotonicTime now)
@@ -122,24 +122,24 @@
     switch (m_assembler.accept(line)) {
     case LineVerdict::Next:
         break;
-    case LineVerdict::Known:
+    case LineVerdict::Duplicate:
         m_lastProgress = now;
         return {};
-    case LineVerdict::Foreign:
+    case LineVerdict::Unrelated:
         return {};
     case LineVerdict::Gap:
-        return loseTarget(EngineStreamEnd::Broken, now);
+        return handleTargetLoss(EngineStreamEnd::Broken, now);
     case LineVerdict::Mismatch:
         return fail(ErrorKind::GenerationLost, "the repeated generation differs from the tokens delivered so far");
     }
     m_lastProgress = now;
     m_resumes = 0;
     const Deliver deliver {.index = m_assembler.nextOffset() - 1, .text = line.text, .checksum = m_assembler.checksum().value()};
-    if (!m_options.canContinueExactly && !isDelivered()) {
-        m_held.push_back(deliver);
+    if (!m_options.canContinueExactly && !hasDeliveredTokens()) {
+        m_undelivered.push_back(deliver);
         return {};
     }
-    m_delivered = m_assembler.nextOffset();
+    m_deliveredTokens = m_assembler.nextOffset();
     return {deliver};
 }
 
@@ -149,13 +149,13 @@
         return {};
     }
     if (!m_assembler.isComplete(line)) {
-        return fail(ErrorKind::GenerationLost, "the engine's count does not match the tokens received");
+        return fail(ErrorKind::GenerationLost, "the engine's token count does not match the number of tokens received");
     }
     GenerationActions actions;
-    for (auto &deliver : m_held) {
+    for (auto &deliver : m_undelivered) {
         actions.emplace_back(std::move(deliver));
     }
-    m_held.clear();
+    m_undelivered.clear();
     m_over = true;
     actions.emplace_back(Complete {.count = line.count, .checksum = m_assembler.checksum().hex()});
     return actions;
@@ -170,21 +170,21 @@
     case EngineStreamEnd::Closed:
     case EngineStreamEnd::Broken:
     case EngineStreamEnd::Silent:
-        // The connection may be at fault rather than the target, so the same target is asked again over a new connection.
-        if (m_resumes < m_options.resumeLimit) {
+        // The connection may have failed rather than the target, so the stream is resumed from the same target over a new connection.
+        if (m_resumes < m_options.maxResumes) {
             return resumeSameTarget();
         }
-        return loseTarget(end, now);
+        return handleTargetLoss(end, now);
     case EngineStreamEnd::Rejected:
         if (!m_resuming) {
             return fail(ErrorKind::TargetFailed, "the engine rejected the request");
         }
-        return loseTarget(end, now);
+        return handleTargetLoss(end, now);
     case EngineStreamEnd::Unreachable:
     case EngineStreamEnd::Refused:
     case EngineStreamEnd::NotFound:
     case EngineStreamEnd::Busy:
-        return loseTarget(end, now);
+        return handleTargetLoss(end, now);
     }
     return {};
 }
@@ -197,47 +197,47 @@
     return {Resume {.target = m_target, .attempt = m_assembler.attempt(), .from = m_assembler.nextOffset()}};
 }
 
-GenerationActions GenerationSession::loseTarget(EngineStreamEnd end, MonotonicTime now)
+GenerationActions GenerationSession::handleTargetLoss(EngineStreamEnd end, MonotonicTime now)
 {
     GenerationActions actions {Abandon {m_target}, ReportLost {.target = m_target, .end = end}};
     m_excluded.insert(m_target);
     m_target.clear();
     if (end != EngineStreamEnd::Busy) {
-        ++m_losses;
+        ++m_lostTargets;
     }
     const int32_t nextAttempt = m_assembler.attempt() + 1;
     if (m_options.canContinueExactly) {
         m_assembler.beginAttempt(nextAttempt, m_assembler.nextOffset());
-    } else if (isDelivered()) {
+    } else if (hasDeliveredTokens()) {
         auto failure = fail(ErrorKind::GenerationLost, "the engine that held the generation is gone and no other one can continue it");
         actions.insert(actions.end(), failure.begin(), failure.end());
         return actions;
     } else {
-        m_held.clear();
+        m_undelivered.clear();
         m_assembler.restart(nextAttempt);
     }
-    auto next = placeAgain(now);
+    auto next = retryPlacement(now);
     actions.insert(actions.end(), next.begin(), next.end());
     return actions;
 }
 
-GenerationActions GenerationSession::placeAgain(MonotonicTime now)
+GenerationActions GenerationSession::retryPlacement(MonotonicTime now)
 {
-    if (!isDelivered() && m_losses >= MaxLossesBeforeDelivery) {
+    if (!hasDeliveredTokens() && m_lostTargets >= MaxLostTargetsBeforeDelivery) {
         return fail(ErrorKind::TargetUnavailable, "several targets were lost while they ran this request");
     }
-    if (timedOut(now)) {
+    if (isTimedOut(now)) {
         return fail(ErrorKind::DeadlineExceeded, "the generation made no progress in time");
     }
     const auto excluded = m_excluded;
-    if (m_losses > 0 && m_losses % MaxLossesBeforeDelivery == 0) {
-        // Targets come back, so a long generation does not run out of candidates.
+    if (m_lostTargets > 0 && m_lostTargets % MaxLostTargetsBeforeDelivery == 0) {
+        // Targets recover, so earlier ones become candidates again and a long generation does not run out of candidates.
         m_excluded.clear();
     }
     return {Place {excluded}};
 }
 
-bool GenerationSession::timedOut(MonotonicTime now) const
+bool GenerationSession::isTimedOut(MonotonicTime now) const
 {
     return now - m_lastProgress > m_options.progressTimeout;
 }
--- a/Libraries/LibGeneration/GenerationSession.h
+++ b/Libraries/LibGeneration/GenerationSession.h
@@ -13,46 +13,47 @@
 
 // How an engine's stream ended.
 enum class EngineStreamEnd {
-    // The engine closed the stream after its last line, or early.
+    // The engine closed the stream, after its last line or before it.
     Closed,
-    // No connection was made.
+    // No connection could be established.
     Unreachable,
-    // The target's machine refused the connection: the process is gone.
+    // The target's host refused the connection, so the engine process is not running.
     Refused,
+    // The connection failed, or the engine sent an invalid line or skipped tokens.
     Broken,
-    // The silence deadline passed.
+    // The engine sent nothing until the timeout for missing data.
     Silent,
-    // The engine answered that it does not have the generation.
+    // The engine responded that it does not have the generation.
     NotFound,
-    // The engine takes no work now (HTTP 429 or 503).
+    // The engine accepts no work at the moment (HTTP 429 or 503).
     Busy,
-    // The engine refused the request for good (any other HTTP error).
+    // The engine rejected the request permanently (any other HTTP error).
     Rejected,
 };
 
 namespace SessionAction
 {
 
-// Ask the policy for a target; answered with onPlaced() or onPlacementRejected().
+// Ask the policy for a target. The driver then calls onPlaced(), onPlacementRejected() or onPlacementDelayed().
 struct Place {
     std::set<std::string> excludedTargets;
 };
 
-// Send the prompt to the target. A continued generation comes with the tokens that exist already.
+// Send the prompt to the target, followed by the existing tokens if the generation is continued.
 struct Generate {
     std::string target;
     int32_t attempt;
     std::vector<std::string> tokens;
 };
 
-// Read the running generation from the target.
+// Reopen the stream of the running generation on the target, beginning with the token at index `from`.
 struct Resume {
     std::string target;
     int32_t attempt;
     int32_t from;
 };
 
-// Close the stream from the target, if it is open, and tell the target to drop the generation.
+// Close the stream from the target, if it is open, and request that the target drops the generation.
 struct Abandon {
     std::string target;
 };
@@ -81,7 +82,7 @@
     MonotonicTime until;
 };
 
-// The target is gone or does not have the generation any more. For the policy and for crash suspects.
+// Report to the policy and to the tracking of crash suspects that the target is gone or no longer has the generation.
 struct ReportLost {
     std::string target;
     EngineStreamEnd end;
@@ -100,34 +101,34 @@
                                       SessionAction::ReportLost>;
 using GenerationActions = std::vector<GenerationAction>;
 
-// Decides how one generation reaches its caller whole, although targets and connections fail. A pure state machine: the driver carries out the actions and
-// reports what happened. At most one upstream stream is current; the driver numbers the streams and drops what arrives from earlier ones.
+// Delivers one generation completely to its caller despite failures of targets and connections. This is a pure state machine: the driver performs the
+// returned actions and reports their results. At most one engine stream is current; the driver numbers the streams and drops input from earlier ones.
 class GenerationSession
 {
 public:
     struct Options {
         std::string generation;
-        // Whether another engine can continue the generation exactly. Otherwise tokens are held back until the engine has finished.
+        // Whether another engine can continue the generation exactly. Otherwise tokens are buffered until the engine has finished.
         bool canContinueExactly = false;
-        // Position to go on from, for a caller that came back.
+        // Position to resume from, if the caller has reconnected.
         std::optional<Cursor> cursor;
-        // A generation that makes no progress for this time is given up.
+        // A generation that makes no progress for this time fails.
         std::chrono::milliseconds progressTimeout {std::chrono::minutes(10)};
-        // Tries to reach the same target again before it counts as lost.
-        int resumeLimit = 2;
-        // Pause before another target is asked for, while a started generation waits.
-        std::chrono::milliseconds placementPause {200};
+        // Maximum number of consecutive attempts to resume the stream from the same target before the target counts as lost.
+        int maxResumes = 2;
+        // Delay before the next placement of a started generation that found no target.
+        std::chrono::milliseconds placementDelay {200};
     };
 
     GenerationSession(Options options, MonotonicTime now);
 
     GenerationActions start(MonotonicTime now);
     GenerationActions onPlaced(const std::string &target, MonotonicTime now);
-    // The policy has no target. A generation of which nothing was delivered fails at once with the problem; a started one waits.
+    // The policy has no target. If no token was delivered, the generation fails at once with the problem; otherwise it waits.
     GenerationActions onPlacementRejected(const Problem &problem, MonotonicTime now);
-    // The request must not run again, whether it has started or not.
+    // Fails the generation with the problem, whether it has started or not, because the request must not run again.
     GenerationActions giveUp(const Problem &problem);
-    // The policy asks to wait for a target.
+    // The policy has no target yet. Placement is repeated at the given time.
     GenerationActions onPlacementDelayed(MonotonicTime until, MonotonicTime now);
     GenerationActions onLine(const EngineLine &line, MonotonicTime now);
     GenerationActions onEngineStreamEnd(EngineStreamEnd end, MonotonicTime now);
@@ -153,31 +154,31 @@
         return m_assembler.nextOffset();
     }
 
-    // Whether the caller has at least one token, so that the generation must not be replaced by another one.
-    bool isDelivered() const
+    // Whether the caller has received at least one token. From then on, the generation must not be replaced by a different one.
+    bool hasDeliveredTokens() const
     {
-        return m_delivered > 0;
+        return m_deliveredTokens > 0;
     }
 
 private:
     GenerationActions fail(ErrorKind kind, const std::string &detail);
     GenerationActions acceptToken(const EngineLine &line, MonotonicTime now);
     GenerationActions acceptDone(const EngineLine &line);
-    GenerationActions loseTarget(EngineStreamEnd end, MonotonicTime now);
-    GenerationActions placeAgain(MonotonicTime now);
+    GenerationActions handleTargetLoss(EngineStreamEnd end, MonotonicTime now);
+    GenerationActions retryPlacement(MonotonicTime now);
     GenerationActions resumeSameTarget();
-    bool timedOut(MonotonicTime now) const;
+    bool isTimedOut(MonotonicTime now) const;
 
     const Options m_options;
     StreamAssembler m_assembler;
     std::string m_target;
     std::set<std::string> m_excluded;
-    // Tokens accepted and not yet delivered, while delivery is held back.
-    std::vector<SessionAction::Deliver> m_held;
-    int32_t m_delivered;
+    // Accepted tokens that are not delivered before the engine has finished.
+    std::vector<SessionAction::Deliver> m_undelivered;
+    int32_t m_deliveredTokens;
     int m_resumes = 0;
-    int m_losses = 0;
-    // Whether the last upstream request had the target continue a generation that it already runs.
+    int m_lostTargets = 0;
+    // Whether the last request to the engine resumed the stream of a running generation.
     bool m_resuming = false;
     bool m_over = false;
     MonotonicTime m_lastProgress;
--- a/Libraries/LibGeneration/StreamAssembler.cpp
+++ b/Libraries/LibGeneration/StreamAssembler.cpp
@@ -10,7 +10,7 @@
     , m_checksum(options.checksum)
     , m_verifyOffset(options.nextOffset)
     , m_verifyChecksum(options.checksum)
-    , m_logIsWhole(options.nextOffset == 0)
+    , m_hasAllTokens(options.nextOffset == 0)
 {
 }
 
@@ -19,8 +19,8 @@
     m_attempt = attempt;
     m_verifyOffset = firstOffset;
     m_verifyChecksum = firstOffset == 0 ? TokenChecksum() : m_checksum;
-    if (firstOffset == 0 && !m_logIsWhole) {
-        m_log.clear();
+    if (firstOffset == 0 && !m_hasAllTokens) {
+        m_tokens.clear();
     }
 }
 
@@ -31,17 +31,17 @@
     m_checksum = TokenChecksum();
     m_verifyOffset = 0;
     m_verifyChecksum = TokenChecksum();
-    m_log.clear();
-    m_logIsWhole = true;
+    m_tokens.clear();
+    m_hasAllTokens = true;
 }
 
 LineVerdict StreamAssembler::accept(const EngineLine &line)
 {
     if (line.generation != m_generation || line.attempt != m_attempt) {
-        return LineVerdict::Foreign;
+        return LineVerdict::Unrelated;
     }
     if (line.offset < m_verifyOffset) {
-        return LineVerdict::Known;
+        return LineVerdict::Duplicate;
     }
     if (line.offset > m_verifyOffset) {
         return LineVerdict::Gap;
@@ -53,8 +53,8 @@
     ++m_nextOffset;
     m_verifyOffset = m_nextOffset;
     m_verifyChecksum = m_checksum;
-    if (m_logIsWhole) {
-        m_log.push_back(line.text);
+    if (m_hasAllTokens) {
+        m_tokens.push_back(line.text);
     }
     return LineVerdict::Next;
 }
@@ -63,17 +63,17 @@
 {
     m_verifyChecksum.add(line.text);
     ++m_verifyOffset;
-    if (!m_logIsWhole) {
-        m_log.push_back(line.text);
+    if (!m_hasAllTokens) {
+        m_tokens.push_back(line.text);
     }
     if (m_verifyOffset < m_nextOffset) {
-        return LineVerdict::Known;
+        return LineVerdict::Duplicate;
     }
     if (m_verifyChecksum.value() != m_checksum.value()) {
         return LineVerdict::Mismatch;
     }
-    m_logIsWhole = true;
-    return LineVerdict::Known;
+    m_hasAllTokens = true;
+    return LineVerdict::Duplicate;
 }
 
 bool StreamAssembler::isComplete(const EngineLine &done) const
--- a/Libraries/LibGeneration/StreamAssembler.h
+++ b/Libraries/LibGeneration/StreamAssembler.h
@@ -12,18 +12,18 @@
 enum class LineVerdict {
     // The next token of the stream.
     Next,
-    // A token that the stream has already, or one that only served to verify an earlier part.
-    Known,
+    // A token that the stream already has. It may have served to verify a repeated generation.
+    Duplicate,
     // A line of another generation or of an earlier attempt.
-    Foreign,
+    Unrelated,
     // Tokens are missing between the stream and this line.
     Gap,
     // The engine's tokens differ from those that the stream has.
     Mismatch,
 };
 
-// Puts the lines of one generation's attempts into one sequence in which every token occurs once. A new attempt whose tokens differ from those that were
-// accepted before is found by the running checksum, so that two generations are never spliced.
+// Merges the lines of all attempts of one generation into one sequence in which every token occurs once. A running checksum detects a new attempt whose
+// tokens differ from those that were accepted before, so that two different generations are never spliced.
 class StreamAssembler
 {
 public:
@@ -36,15 +36,15 @@
 
     explicit StreamAssembler(Options options);
 
-    // Begins a new source of lines whose first token has the given index: 0 for a repeated generation, nextOffset() for a continued or resumed one.
+    // Begins an attempt whose first token has the given index: 0 for a repeated generation, nextOffset() for a continued or resumed one.
     void beginAttempt(int32_t attempt, int32_t firstOffset);
 
-    // Forgets all tokens, for a generation of which nothing was delivered.
+    // Discards all tokens of a generation of which nothing was delivered.
     void restart(int32_t attempt);
 
     LineVerdict accept(const EngineLine &line);
 
-    // Whether the last line's count is that of the tokens accepted.
+    // Whether the token count in the last line equals the number of accepted tokens.
     bool isComplete(const EngineLine &done) const;
 
     int32_t attempt() const
@@ -62,10 +62,10 @@
         return m_checksum;
     }
 
-    // The tokens from index 0, if this process has all of them.
-    const std::vector<std::string> *wholeLog() const
+    // All tokens from index 0, or nullptr if this process does not have all of them.
+    const std::vector<std::string> *allTokens() const
     {
-        return m_logIsWhole ? &m_log : nullptr;
+        return m_hasAllTokens ? &m_tokens : nullptr;
     }
 
 private:
@@ -75,11 +75,11 @@
     int32_t m_attempt;
     int32_t m_nextOffset;
     TokenChecksum m_checksum;
-    // Position and checksum of a repeated attempt that has not caught up with the stream yet.
+    // Position and checksum within a repeated attempt that has not yet caught up with the stream.
     int32_t m_verifyOffset;
     TokenChecksum m_verifyChecksum;
-    std::vector<std::string> m_log;
-    bool m_logIsWhole;
+    std::vector<std::string> m_tokens;
+    bool m_hasAllTokens;
 };
 
 } // namespace Jujube
--- a/Tests/LibGeneration/TestCursor.cpp
+++ b/Tests/LibGeneration/TestCursor.cpp
@@ -25,8 +25,8 @@
 
 } // namespace
 
-// Guards against a field that is lost on the way through the caller.
-TEST(Cursor, SurvivesEncoding)
+// Guards against a field of the cursor that is missing from the encoded text.
+TEST(Cursor, RoundTripPreservesAllFields)
 {
     const CursorCodec codec({.key = "secret", .previousKey = ""});
     const auto decoded = codec.decode(codec.encode(exampleCursor()));
@@ -53,7 +53,7 @@
     EXPECT_EQ(errorKindOf(codec.decode(std::string(5000, 'A')).status()), ErrorKind::InvalidCursor);
 }
 
-// Guards against streams that break while the signing key is replaced.
+// Guards against streams that cannot be resumed during a rotation of the signing key.
 TEST(Cursor, AcceptsThePreviousKey)
 {
     const CursorCodec before({.key = "old", .previousKey = ""});
--- a/Tests/LibGeneration/TestEngineLineParser.cpp
+++ b/Tests/LibGeneration/TestEngineLineParser.cpp
@@ -23,8 +23,8 @@
 
 } // namespace
 
-// Guards against characters that are damaged when a read ends in the middle of one.
-TEST(EngineLineParser, DoesNotDependOnWhereReadsEnd)
+// Guards against multi-byte characters that are corrupted when a read ends within one.
+TEST(EngineLineParser, ResultDoesNotDependOnReadBoundaries)
 {
     for (size_t pieceSize = 1; pieceSize <= Lines.size(); ++pieceSize) {
         const auto lines = parseInPieces(Lines, pieceSize);
@@ -37,7 +37,7 @@
     }
 }
 
-// Guards against damaged lines being taken for tokens, and against unbounded memory for a line without an end.
+// Guards against invalid lines being accepted as tokens, and against unbounded memory use for a line that never ends.
 TEST(EngineLineParser, ReportsInvalidLines)
 {
     EXPECT_EQ(parseEngineLine("{\"g\":\"id\",\"a\":1,\"t\":\"x\"}").kind, EngineLineKind::Invalid);
--- a/Tests/LibGeneration/TestGenerationSession.cpp
+++ b/Tests/LibGeneration/TestGenerationSession.cpp
@@ -15,7 +15,7 @@
 
 const std::string Generation = "00112233445566778899aabbccddeeff";
 
-// The text that every engine produces for the generation at an index, unless it is a deviating one.
+// The token that all engines produce at an index of the generation, except in tests of an engine whose tokens differ.
 std::string tokenAt(int32_t index)
 {
     return " t" + std::to_string(index);
@@ -61,7 +61,7 @@
 
 } // namespace
 
-// Guards against tokens of a late old attempt reaching the caller beside its successor's.
+// Guards against late tokens of an earlier attempt being delivered together with those of the current attempt.
 TEST(GenerationSession, DropsLinesOfAnEarlierAttempt)
 {
     const MonotonicTime now;
@@ -78,7 +78,7 @@
     EXPECT_EQ(find<Deliver>(delivered)->index, 3);
 }
 
-// Guards against a dead connection being taken for a dead target.
+// Guards against a failed connection being treated as a failed target.
 TEST(GenerationSession, ResumesTheSameTargetAfterSilence)
 {
     const MonotonicTime now;
@@ -94,7 +94,7 @@
     EXPECT_NE(find<Deliver>(session.onLine(token(1, 3), now)), nullptr);
 }
 
-// Guards against splicing two generations when an engine repeats a generation with other tokens.
+// Guards against splicing two generations when an engine repeats a generation with different tokens.
 TEST(GenerationSession, RefusesARepeatedGenerationThatDiffers)
 {
     const MonotonicTime now;
@@ -136,7 +136,7 @@
     EXPECT_NE(find<Complete>(actions), nullptr);
 }
 
-// Guards against a truncated generation being reported as whole.
+// Guards against a truncated generation being reported as complete.
 TEST(GenerationSession, ChecksTheCountOfTheLastLine)
 {
     const MonotonicTime now;
@@ -147,7 +147,7 @@
     EXPECT_EQ(find<Fail>(actions)->problem.kind, ErrorKind::GenerationLost);
 }
 
-// Guards against a started draft being dropped because no target has room at the moment its engine dies.
+// Guards against a started generation failing because no target has capacity at the moment when its engine is lost.
 TEST(GenerationSession, AStartedGenerationWaitsForATarget)
 {
     const MonotonicTime now;
@@ -163,8 +163,8 @@
     EXPECT_NE(find<Fail>(fresh.onPlacementRejected(overloaded, now)), nullptr);
 }
 
-// Guards against tokens that are lost, doubled, out of order or from two generations under any order of failures: random ends of streams, repeated lines,
-// stale attempts and returns of the caller at other gateways with its latest or an earlier cursor.
+// Guards against tokens that are lost, duplicated, out of order or mixed from two generations under any order of failures: streams that end at random,
+// repeated lines, stale attempts, and callers that reconnect to other gateways with their latest or an earlier cursor.
 TEST(GenerationSession, EveryTokenOnceInOrderUnderRandomFailures)
 {
     constexpr int32_t Count = 40;
@@ -225,7 +225,7 @@
                     actions = session.onLine(token(attempt, std::max(0, position - 1)), now);
                     break;
                 case 3:
-                    // Nobody has any token yet, so losses count against the request and it could be refused.
+                    // Only after the first token: before it, lost targets count against the request and could make it fail.
                     callerGone = !received.empty() && random() % 3 == 0;
                     actions.clear();
                     break;
@@ -234,7 +234,7 @@
                     ++position;
                 }
                 if (received.empty() && session.attempt() > 2) {
-                    // Starts over, as a caller does that was refused before its first token.
+                    // Starts over, as a caller does whose request failed before its first token.
                     callerGone = true;
                     cursor.target.clear();
                 }
