--- a/Libraries/LibMembership/CrashReportBuffer.cpp
+++ b/Libraries/LibMembership/CrashReportBuffer.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr size_t ReportsPerDatagram = 2;
+constexpr size_t MaxReportsPerDatagram = 2;
 
 Wire::CrashRecord toWire(const CrashReport &report, MonotonicTime now)
 {
@@ -26,7 +26,7 @@
 
 } // namespace
 
-bool CrashReportBuffer::merge(const CrashReport &report, int sendings)
+bool CrashReportBuffer::merge(const CrashReport &report, int transmissions)
 {
     if (!m_entries.contains(report.crash) && m_entries.size() >= MaxReports) {
         const auto oldest
@@ -58,23 +58,23 @@
     changed = changed || (report.truncated && !known.truncated);
     known.truncated = known.truncated || report.truncated;
     if (changed) {
-        entry.sendingsLeft = sendings;
+        entry.transmissionsLeft = transmissions;
     }
     return changed;
 }
 
-std::vector<Wire::CrashRecord> CrashReportBuffer::take(MonotonicTime now)
+std::vector<Wire::CrashRecord> CrashReportBuffer::nextRecords(MonotonicTime now)
 {
     std::vector<Wire::CrashRecord> records;
-    auto next = m_entries.upper_bound(m_lastTaken);
-    for (size_t seen = 0; seen < m_entries.size() && records.size() < ReportsPerDatagram; ++seen) {
+    auto next = m_entries.upper_bound(m_lastSentCrash);
+    for (size_t seen = 0; seen < m_entries.size() && records.size() < MaxReportsPerDatagram; ++seen) {
         if (next == m_entries.end()) {
             next = m_entries.begin();
         }
         auto &[crash, entry] = *next;
-        if (entry.sendingsLeft > 0) {
-            entry.sendingsLeft -= 1;
-            m_lastTaken = crash;
+        if (entry.transmissionsLeft > 0) {
+            entry.transmissionsLeft -= 1;
+            m_lastSentCrash = crash;
             records.push_back(toWire(entry.report, now));
         }
         ++next;
@@ -82,9 +82,9 @@
     return records;
 }
 
-void CrashReportBuffer::forgetOld(MonotonicTime now)
+void CrashReportBuffer::removeExpired(MonotonicTime now)
 {
-    std::erase_if(m_entries, [now](const auto &entry) { return now - entry.second.report.at > KeepTime; });
+    std::erase_if(m_entries, [now](const auto &entry) { return now - entry.second.report.at > RetentionTime; });
 }
 
 std::vector<CrashReport> CrashReportBuffer::reports() const
--- a/Libraries/LibMembership/CrashReportBuffer.h
+++ b/Libraries/LibMembership/CrashReportBuffer.h
@@ -14,27 +14,27 @@
     // Hash of the target and its incarnation, the same at every gateway.
     int64_t crash = 0;
     std::vector<uint64_t> fingerprints;
-    // More requests ran than are listed, so that nothing can be concluded from a fingerprint that is missing here.
+    // More requests ran than are listed, so nothing can be concluded from a missing fingerprint.
     bool truncated = false;
     MonotonicTime at;
 };
 
-// Carries crash reports between gateways in bounded memory and bounded datagrams. What follows from them is decided elsewhere.
+// Buffers the crash reports that gateways exchange, in bounded memory and with a bounded number per datagram. It draws no conclusions from them.
 class CrashReportBuffer
 {
 public:
     static constexpr size_t MaxReports = 256;
-    // A crash with more requests says little about each of them.
+    // A crash with more requests is weak evidence against each of them.
     static constexpr size_t MaxFingerprints = 32;
-    static constexpr std::chrono::minutes KeepTime {10};
+    static constexpr std::chrono::minutes RetentionTime {10};
 
-    // Merges a report. Returns true if it brought a crash or a fingerprint that was not known.
-    bool merge(const CrashReport &report, int sendings);
+    // Merges a report. Returns true if the report contained anything new; the merged report is then sent in the given number of datagrams.
+    bool merge(const CrashReport &report, int transmissions);
 
-    // At most two reports that still have to be sent.
-    std::vector<Wire::CrashRecord> take(MonotonicTime now);
+    // Returns the reports for the next datagram, at most two, and counts one transmission for each.
+    std::vector<Wire::CrashRecord> nextRecords(MonotonicTime now);
 
-    void forgetOld(MonotonicTime now);
+    void removeExpired(MonotonicTime now);
 
     std::vector<CrashReport> reports() const;
 
@@ -43,12 +43,12 @@
 private:
     struct Entry {
         CrashReport report;
-        int sendingsLeft = 0;
+        int transmissionsLeft = 0;
     };
 
     std::map<int64_t, Entry> m_entries;
-    // The crash that was sent last, so that all take turns.
-    int64_t m_lastTaken = 0;
+    // The crash that was sent last. Reports are sent in round-robin order.
+    int64_t m_lastSentCrash = 0;
 };
 
 } // namespace Jujube
--- a/Libraries/LibMembership/HeartbeatCodec.cpp
+++ b/Libraries/LibMembership/HeartbeatCodec.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// The second character is the version of the format.
-constexpr std::string_view Mark = "J1";
+// The second character is the format version.
+constexpr std::string_view FormatMarker = "J1";
 constexpr size_t MacBytes = 16;
 
 } // namespace
@@ -22,9 +22,9 @@
 
 std::string HeartbeatCodec::encode(const Wire::Heartbeat &heartbeat) const
 {
-    constexpr size_t MaxContentBytes = MaxDatagramBytes - Mark.size() - MacBytes;
+    constexpr size_t MaxContentBytes = MaxDatagramBytes - FormatMarker.size() - MacBytes;
     const auto body
-        = std::string(Mark)
+        = std::string(FormatMarker)
         + toThriftCompactWithin(
               heartbeat, MaxContentBytes, &Wire::Heartbeat::digests, &Wire::Heartbeat::crashes, &Wire::Heartbeat::wanted, &Wire::Heartbeat::records);
     return body + hmacSha256(m_clusterKey, body).substr(0, MacBytes);
@@ -32,7 +32,7 @@
 
 std::optional<Wire::Heartbeat> HeartbeatCodec::decode(std::string_view datagram) const
 {
-    if (datagram.size() <= Mark.size() + MacBytes || datagram.size() > MaxDatagramBytes || datagram.substr(0, Mark.size()) != Mark) {
+    if (datagram.size() <= FormatMarker.size() + MacBytes || datagram.size() > MaxDatagramBytes || datagram.substr(0, FormatMarker.size()) != FormatMarker) {
         return std::nullopt;
     }
     const auto body = datagram.substr(0, datagram.size() - MacBytes);
@@ -40,8 +40,8 @@
     if (!equalInConstantTime(mac, hmacSha256(m_clusterKey, body).substr(0, MacBytes))) {
         return std::nullopt;
     }
-    // No valid datagram has longer strings or lists than the default limits.
-    return fromThriftCompact<Wire::Heartbeat>(std::string(body.substr(Mark.size())));
+    // The default size limits suffice, because no valid datagram has longer strings or lists.
+    return fromThriftCompact<Wire::Heartbeat>(std::string(body.substr(FormatMarker.size())));
 }
 
 } // namespace Jujube
--- a/Libraries/LibMembership/HeartbeatCodec.h
+++ b/Libraries/LibMembership/HeartbeatCodec.h
@@ -8,17 +8,18 @@
 namespace Jujube
 {
 
-// The largest datagram. IPv6's smallest link of 1,280 bytes does not apply within the data centres; 1,400 bytes leave room for tunnel headers on a link of
-// 1,500 bytes, so that no datagram is fragmented.
+// Maximum size of a datagram. 1,400 bytes leave room for tunnel headers within an MTU of 1,500 bytes, so that no datagram is fragmented. The minimum MTU of
+// IPv6, 1,280 bytes, does not occur within the data centres.
 constexpr size_t MaxDatagramBytes = 1400;
 
-// Encodes heartbeats as Thrift compact structs behind a two-byte mark and in front of a truncated HMAC-SHA-256 (16 bytes) under the cluster key.
+// Encodes heartbeats as Thrift compact structs, preceded by a two-byte format marker and followed by a truncated HMAC-SHA-256 (16 bytes) under the cluster
+// key.
 class HeartbeatCodec
 {
 public:
     explicit HeartbeatCodec(std::string clusterKey);
 
-    // Drops lists from the end until the datagram fits.
+    // Drops list entries, the least important ones first, until the datagram fits.
     std::string encode(const Wire::Heartbeat &heartbeat) const;
 
     // Returns nothing for a datagram that is malformed, oversized or not signed with the cluster key.
--- a/Libraries/LibMembership/HeartbeatSocket.cpp
+++ b/Libraries/LibMembership/HeartbeatSocket.cpp
@@ -16,12 +16,13 @@
 {
 
 constexpr std::chrono::milliseconds PollInterval {200};
-// A poll that returns this late shows that the process was frozen. What the kernel queued meanwhile is old and would pass for present heartbeats.
-constexpr std::chrono::milliseconds FrozenAfter {2000};
-// One byte more than the largest datagram shows that a datagram is too large.
-constexpr size_t BufferBytes = 1401;
-// Datagrams read in one turn, so that a flood does not keep the thread from stopping.
-constexpr int DatagramsPerTurn = 1024;
+// A poll that returns this late indicates that the process was frozen. Datagrams that the kernel queued in the meantime are outdated and are discarded,
+// because they would be mistaken for current heartbeats.
+constexpr std::chrono::milliseconds FreezeThreshold {2000};
+// One byte more than MaxDatagramBytes, so that datagrams that are too large are recognized.
+constexpr size_t ReceiveBufferBytes = 1401;
+// Limits the datagrams read in one iteration, so that a flood does not prevent the thread from stopping.
+constexpr int MaxDatagramsPerRead = 1024;
 
 struct SocketAddress {
     sockaddr_storage storage {};
@@ -72,18 +73,18 @@
     if (!address) {
         return makeError(ErrorKind::InvalidValue, absl::StrCat("heartbeat address \"", listen, "\" is not a numeric address and port"));
     }
-    const int handle = socket(address->storage.ss_family, SOCK_DGRAM | SOCK_CLOEXEC, 0);
-    if (handle < 0) {
-        return makeError(ErrorKind::Internal, "no UDP socket could be made");
+    const int descriptor = socket(address->storage.ss_family, SOCK_DGRAM | SOCK_CLOEXEC, 0);
+    if (descriptor < 0) {
+        return makeError(ErrorKind::Internal, "cannot create a UDP socket");
     }
     SocketAddress bound;
     bound.size = sizeof(bound.storage);
-    if (bind(handle, reinterpret_cast<const sockaddr *>(&address->storage), address->size) != 0
-        || getsockname(handle, reinterpret_cast<sockaddr *>(&bound.storage), &bound.size) != 0) {
-        close(handle);
+    if (bind(descriptor, reinterpret_cast<const sockaddr *>(&address->storage), address->size) != 0
+        || getsockname(descriptor, reinterpret_cast<sockaddr *>(&bound.storage), &bound.size) != 0) {
+        close(descriptor);
         return makeError(ErrorKind::Internal, absl::StrCat("cannot bind UDP address ", listen));
     }
-    return std::unique_ptr<HeartbeatSocket>(new HeartbeatSocket(handle, formatAddress(bound.storage, bound.size), ringCapacity));
+    return std::unique_ptr<HeartbeatSocket>(new HeartbeatSocket(descriptor, formatAddress(bound.storage, bound.size), ringCapacity));
 }
 
 HeartbeatSocket::HeartbeatSocket(int socket, std::string address, size_t ringCapacity)
@@ -108,8 +109,8 @@
     if (!parsed) {
         return;
     }
-    const auto *target = reinterpret_cast<const sockaddr *>(&parsed->storage);
-    if (sendto(m_socket, payload.data(), payload.size(), MSG_DONTWAIT | MSG_NOSIGNAL, target, parsed->size) >= 0) {
+    const auto *destination = reinterpret_cast<const sockaddr *>(&parsed->storage);
+    if (sendto(m_socket, payload.data(), payload.size(), MSG_DONTWAIT | MSG_NOSIGNAL, destination, parsed->size) >= 0) {
         m_sentDatagrams += 1;
         m_sentBytes += payload.size();
     }
@@ -130,7 +131,7 @@
         pollfd waiting {.fd = m_socket, .events = POLLIN, .revents = 0};
         const auto before = monotonicNow();
         const int ready = poll(&waiting, 1, static_cast<int>(PollInterval.count()));
-        const bool wasFrozen = monotonicNow() - before > FrozenAfter;
+        const bool wasFrozen = monotonicNow() - before > FreezeThreshold;
         if (ready > 0) {
             receiveAvailable(wasFrozen);
         }
@@ -139,8 +140,8 @@
 
 void HeartbeatSocket::receiveAvailable(bool discard)
 {
-    for (int i = 0; i < DatagramsPerTurn; ++i) {
-        std::array<char, BufferBytes> buffer {};
+    for (int i = 0; i < MaxDatagramsPerRead; ++i) {
+        std::array<char, ReceiveBufferBytes> buffer {};
         SocketAddress source;
         source.size = sizeof(source.storage);
         const auto size = recvfrom(m_socket, buffer.data(), buffer.size(), MSG_DONTWAIT, reinterpret_cast<sockaddr *>(&source.storage), &source.size);
--- a/Libraries/LibMembership/HeartbeatSocket.h
+++ b/Libraries/LibMembership/HeartbeatSocket.h
@@ -16,7 +16,7 @@
     std::string payload;
 };
 
-// A UDP socket. Its own thread receives datagrams into a bounded ring; send() may be called from any thread.
+// A UDP socket whose own thread receives datagrams into a bounded ring buffer. send() may be called from any thread.
 class HeartbeatSocket
 {
 public:
@@ -25,11 +25,11 @@
         uint64_t sentBytes = 0;
         uint64_t receivedDatagrams = 0;
         uint64_t receivedBytes = 0;
-        // Received while the ring was full, or before a frozen process woke.
+        // Received while the ring buffer was full or while the process was frozen.
         uint64_t droppedDatagrams = 0;
     };
 
-    // listen is "address:port" with a numeric address; port 0 takes a free one. Errors: ErrorKind::InvalidValue for the address, ErrorKind::Internal if the
+    // listen is "address:port" with a numeric address; port 0 selects a free port. Errors: ErrorKind::InvalidValue for the address, ErrorKind::Internal if the
     // socket cannot be bound.
     static absl::StatusOr<std::unique_ptr<HeartbeatSocket>> open(const std::string &listen, size_t ringCapacity);
 
@@ -37,7 +37,7 @@
     HeartbeatSocket &operator=(const HeartbeatSocket &) = delete;
     ~HeartbeatSocket();
 
-    // Errors of sending are counted as lost datagrams: the protocol expects losses.
+    // Send errors are ignored, because the protocol tolerates lost datagrams.
     void send(const std::string &address, const std::string &payload);
 
     BoundedRing<Datagram> &received()
--- a/Libraries/LibMembership/Member.cpp
+++ b/Libraries/LibMembership/Member.cpp
@@ -19,10 +19,10 @@
 
 std::optional<std::chrono::milliseconds> Member::age(MonotonicTime now) const
 {
-    if (!evidenceAt) {
+    if (!lastHeartbeatAt) {
         return std::nullopt;
     }
-    return std::max(std::chrono::milliseconds(0), std::chrono::duration_cast<std::chrono::milliseconds>(now - *evidenceAt));
+    return std::max(std::chrono::milliseconds(0), std::chrono::duration_cast<std::chrono::milliseconds>(now - *lastHeartbeatAt));
 }
 
 } // namespace Jujube
--- a/Libraries/LibMembership/Member.h
+++ b/Libraries/LibMembership/Member.h
@@ -10,19 +10,19 @@
 {
 
 enum class MemberState {
-    // Heard of lately.
+    // A recent heartbeat is known.
     Live,
-    // A silence was reported, or nothing was heard of its data centre lately, or it was never heard of.
+    // Missing heartbeats were reported, or no recent heartbeat of any member of its data centre is known, or no heartbeat of the member was ever known.
     Suspect,
-    // The silence lasted, or it has exited, or a higher incarnation took its place.
+    // A suspicion was not refuted in time, or the process has exited, or a higher incarnation has replaced it.
     Gone,
-    // Draining by its own word or by the VM list. Stays so until it returns under a new incarnation.
+    // Draining, as announced by the member itself or by the VM list. Ends only when the member returns under a new incarnation.
     Leaving,
 };
 
 std::string_view nameOf(MemberState state);
 
-// What identifies a gateway and where it is reached.
+// The identity of a gateway and its addresses.
 struct MemberIdentity {
     std::string name;
     std::string dataCentre;
@@ -35,25 +35,25 @@
     int64_t incarnation = 0;
 };
 
-// A 32-bit hash of name and incarnation. Two members out of 400 share one with a probability of 2 in 100,000; then the age of one shows on the other until
-// either restarts.
+// A 32-bit hash of name and incarnation. Among 400 members, the probability of a collision is 2 in 100,000; the age of one of the two members is then shown
+// for the other until either restarts.
 uint32_t hashOf(const MemberIdentity &identity);
 
 // A gateway as this process sees it.
 struct Member {
     MemberIdentity identity;
     MemberState state = MemberState::Suspect;
-    // When the latest heartbeat known of, own or relayed, was received by a gateway. Nothing if none is known.
-    std::optional<MonotonicTime> evidenceAt;
+    // When the latest known heartbeat of the member was received, by this process or by a gateway that reported it. Empty if none is known.
+    std::optional<MonotonicTime> lastHeartbeatAt;
     int64_t sequence = 0;
     int32_t openStreams = 0;
     int64_t documentVersion = 0;
 
-    // Time since the latest evidence. Nothing if it was never heard of.
+    // Time since the latest known heartbeat. Empty if none is known.
     std::optional<std::chrono::milliseconds> age(MonotonicTime now) const;
 };
 
-// A machine in the platform's VM list that is to run a gateway.
+// A VM in the platform's VM list that is meant to run a gateway.
 struct VmListEntry {
     MemberIdentity identity;
     bool leaving = false;
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -33,17 +33,17 @@
     return found == m_byHash.end() ? nullptr : &m_entries.at(found->second);
 }
 
-MemberEntry *MemberTable::admit(const MemberIdentity &identity, MonotonicTime now, const std::function<void(const MemberEntry &)> &replaced)
+MemberEntry *MemberTable::admit(const MemberIdentity &identity, MonotonicTime now, const std::function<void(const MemberEntry &)> &onReplaced)
 {
     auto *existing = find(identity.name);
     if (existing && existing->member.identity.incarnation == identity.incarnation) {
-        // The VM list knows less than the member itself, so that a fuller identity completes the entry.
+        // The VM list contains less than the member's own record, so an incomplete identity is replaced.
         if (existing->member.identity.gossipAddress.empty() || existing->member.identity.region.empty()) {
             existing->member.identity = identity;
         }
         return existing;
     }
-    const bool isOlder = existing && existing->member.evidenceAt && existing->member.identity.incarnation > identity.incarnation;
+    const bool isOlder = existing && existing->member.lastHeartbeatAt && existing->member.identity.incarnation > identity.incarnation;
     if (identity.name.empty() || isOlder) {
         return nullptr;
     }
@@ -56,9 +56,9 @@
     entry.createdAt = now;
     if (existing) {
         entry.listed = existing->listed;
-        entry.everListed = existing->everListed;
-        entry.listIncarnation = existing->listIncarnation;
-        replaced(*existing);
+        entry.wasListed = existing->wasListed;
+        entry.listedIncarnation = existing->listedIncarnation;
+        onReplaced(*existing);
         m_byHash.erase(existing->hash);
     }
     m_byHash[entry.hash] = identity.name;
@@ -100,29 +100,29 @@
 
 bool MemberTable::isReachable(const MemberEntry &entry, MonotonicTime now) const
 {
-    return entry.member.evidenceAt && !entry.suspectSince && !entry.goneSince && !isOutOfContact(entry.member.identity.dataCentre, now);
+    return entry.member.lastHeartbeatAt && !entry.suspectSince && !entry.goneSince && !isDataCentreUnreachable(entry.member.identity.dataCentre, now);
 }
 
-bool MemberTable::isOutOfContact(const std::string &dataCentre, MonotonicTime now) const
+bool MemberTable::isDataCentreUnreachable(const std::string &dataCentre, MonotonicTime now) const
 {
-    const auto found = m_contact.find(dataCentre);
-    return found == m_contact.end() || now - found->second > contactTimeout();
+    const auto found = m_lastContact.find(dataCentre);
+    return found == m_lastContact.end() || now - found->second > contactTimeout();
 }
 
-void MemberTable::noteContact(const std::string &dataCentre, MonotonicTime at)
+void MemberTable::recordContact(const std::string &dataCentre, MonotonicTime at)
 {
-    const auto [found, isNew] = m_contact.try_emplace(dataCentre, at);
+    const auto [found, isNew] = m_lastContact.try_emplace(dataCentre, at);
     found->second = std::max(found->second, at);
 }
 
 std::chrono::milliseconds MemberTable::contactTimeout() const
 {
-    return m_tuning.contactBase + m_tuning.contactStep * doublings(m_entries.size());
+    return m_tuning.contactTimeoutBase + m_tuning.contactTimeoutPerDoubling * doublings(m_entries.size());
 }
 
 std::chrono::milliseconds MemberTable::staleTimeout() const
 {
-    return m_tuning.staleBase + m_tuning.stalePerMember * m_entries.size();
+    return m_tuning.staleTimeoutBase + m_tuning.staleTimeoutPerMember * m_entries.size();
 }
 
 std::vector<Member> MemberTable::snapshot(MonotonicTime now) const
@@ -144,11 +144,11 @@
         const auto &identity = entry.member.identity;
         const bool sameName = name == holder.name;
         const bool sameAddress = !holder.address.empty() && identity.address == holder.address;
-        if ((sameName || sameAddress) && std::max(identity.incarnation, entry.listIncarnation) > holder.incarnation) {
+        if ((sameName || sameAddress) && std::max(identity.incarnation, entry.listedIncarnation) > holder.incarnation) {
             return HolderState::Replaced;
         }
         isPresent = isPresent || (sameName && (entry.listed || !entry.goneSince));
-        isUnlisted = isUnlisted || (sameName && entry.everListed && !entry.listed);
+        isUnlisted = isUnlisted || (sameName && entry.wasListed && !entry.listed);
     }
     if (isUnlisted) {
         return HolderState::Unlisted;
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -9,49 +9,49 @@
 namespace Jujube
 {
 
-// What is known of one member, from which its state follows.
+// What is known about one member. The state of the member is derived from it.
 struct MemberEntry {
     Member member;
     uint32_t hash = 0;
-    // The highest sequence number received from the member itself.
+    // The highest sequence number received directly from the member.
     int64_t directSequence = 0;
-    // The member asked to be watched and was not heard of by another way since.
+    // The latest direct heartbeat asked this process to watch the member. Cleared after a freeze of this process and when a suspicion proves wrong.
     bool watched = false;
-    // Was reported as joined.
+    // Whether MembershipChange::Joined was emitted.
     bool joined = false;
     bool leaving = false;
     bool departed = false;
     bool listed = false;
-    bool everListed = false;
-    int64_t listIncarnation = 0;
+    bool wasListed = false;
+    int64_t listedIncarnation = 0;
     std::optional<MonotonicTime> suspectSince;
-    // Whether the suspicion came from a watcher and is passed on.
+    // Whether the suspicion was raised by a watcher and is passed on to other members.
     bool suspicionReported = false;
     std::optional<MonotonicTime> goneSince;
     MonotonicTime createdAt;
 };
 
-// How much of the membership this process reaches, for the rules on isolation and on a majority.
+// How much of the membership this process reaches. Used by the rules that detect isolation and a lost majority.
 struct Reachability {
-    // Including this process. Members that left in an orderly way do not count.
+    // Including this process. Members that shut down gracefully do not count.
     size_t known = 1;
     size_t reachable = 1;
-    // Time since any peer was heard directly. Nothing if none ever was.
+    // Time since the latest heartbeat received directly from any peer. Empty if there was none.
     std::optional<std::chrono::milliseconds> peerAge;
-    // Time since any gateway, as far as heard of, last reached the table service.
+    // Time since any gateway last reached the table service, as far as this process knows. Empty if unknown.
     std::optional<std::chrono::milliseconds> platformAge;
-    // False from the moment a frozen process wakes until it has heard peers again.
+    // False after a freeze of this process until it has received a heartbeat again.
     bool fresh = true;
 };
 
-// Whether the holder of something in the table service, for example of a cold-target permit, may still be running.
+// Whether the holder of a row in the table service, for example of a cold-target permit, may still be running.
 enum class HolderState {
     Present,
-    // A higher incarnation under the same name or address was listed or heard of.
+    // A higher incarnation under the same name or address is known from the VM list or from heartbeats.
     Replaced,
-    // The VM list had it and no longer has it.
+    // The VM list contained the holder and no longer does.
     Unlisted,
-    // Never listed and never heard of; nothing may be concluded.
+    // The holder was never listed and no heartbeat of it is known; nothing may be concluded.
     Unknown,
 };
 
@@ -65,10 +65,10 @@
     MemberEntry *findHash(uint32_t hash);
     const MemberEntry *findHash(uint32_t hash) const;
 
-    // Adds a member or puts a higher incarnation in its place. An entry that was never heard of yields to any incarnation, because the VM list may be wrong.
-    // Returns nothing for a lower incarnation, for an empty name, or if the table is full.
-    // replaced is told the entry that was displaced.
-    MemberEntry *admit(const MemberIdentity &identity, MonotonicTime now, const std::function<void(const MemberEntry &)> &replaced);
+    // Adds a member or replaces it by a higher incarnation. An entry without a known heartbeat is replaced by any incarnation, because the VM list may be
+    // wrong. Returns nullptr for a lower incarnation, for an empty name, or if the table is full.
+    // onReplaced is called with the entry that is replaced.
+    MemberEntry *admit(const MemberIdentity &identity, MonotonicTime now, const std::function<void(const MemberEntry &)> &onReplaced);
 
     void erase(const std::string &name);
 
@@ -79,11 +79,11 @@
     MemberState stateOf(const MemberEntry &entry, MonotonicTime now) const;
     bool isReachable(const MemberEntry &entry, MonotonicTime now) const;
 
-    // Whether a data centre's latest evidence is too old.
-    bool isOutOfContact(const std::string &dataCentre, MonotonicTime now) const;
+    // Whether the latest known heartbeat from a data centre is too old, or none is known.
+    bool isDataCentreUnreachable(const std::string &dataCentre, MonotonicTime now) const;
 
-    // Takes notice of evidence for the contact with a data centre.
-    void noteContact(const std::string &dataCentre, MonotonicTime at);
+    // Records the time of a heartbeat from a data centre.
+    void recordContact(const std::string &dataCentre, MonotonicTime at);
 
     std::chrono::milliseconds contactTimeout() const;
     std::chrono::milliseconds staleTimeout() const;
@@ -100,10 +100,10 @@
     const MembershipTuning m_tuning;
     std::map<std::string, MemberEntry> m_entries;
     std::map<uint32_t, std::string> m_byHash;
-    std::map<std::string, MonotonicTime> m_contact;
+    std::map<std::string, MonotonicTime> m_lastContact;
 };
 
-// Number of doublings from 1 to at least count.
+// Number of doublings after which 1 exceeds count.
 int doublings(size_t count);
 
 } // namespace Jujube
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-// Some seconds of heartbeats at the largest membership, and small enough that a flood costs little memory.
+// Holds a few seconds of heartbeats at the maximum membership, and is small enough that a flood uses little memory.
 constexpr size_t RingCapacity = 256;
-// Half of the jitter of a round, in milliseconds. It keeps members that started together from sending together.
-constexpr int64_t JitterMs = 100;
+// Maximum deviation from the interval between rounds, in milliseconds. It keeps members that started together from sending at the same time.
+constexpr int64_t MaxJitterMs = 100;
 
 std::string withPort(const std::string &address, uint16_t port)
 {
@@ -54,7 +54,7 @@
     m_stopping = true;
     m_socket->received().close();
     m_thread.join();
-    sendAll(m_view.depart(monotonicNow(), stamp(), m_random));
+    sendAll(m_view.depart(monotonicNow(), timestamp(), m_random));
 }
 
 void Membership::setOwnState(const OwnState &state)
@@ -68,9 +68,9 @@
     const auto before = m_own;
     change(m_own);
     m_view.setOwnState(m_own);
-    // A new document and a drain have to be known everywhere within seconds, so that they are not kept until the next round.
+    // A new document and a drain must be known to all members within seconds, so they are sent without waiting for the next round.
     if (m_own.documentVersion > before.documentVersion || m_own.leaving != before.leaving) {
-        m_urgent = true;
+        m_isRoundRequested = true;
         m_socket->received().tryPush({});
     }
 }
@@ -128,28 +128,28 @@
     auto nextRound = monotonicNow();
     while (!m_stopping) {
         const auto now = monotonicNow();
-        if (now >= nextRound || m_urgent.exchange(false)) {
+        if (now >= nextRound || m_isRoundRequested.exchange(false)) {
             sendRound();
-            const auto jitter = static_cast<int64_t>(m_random() % (2 * JitterMs)) - JitterMs;
+            const auto jitter = static_cast<int64_t>(m_random() % (2 * MaxJitterMs)) - MaxJitterMs;
             nextRound = now + m_options.tuning.round + std::chrono::milliseconds(jitter);
         }
         const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(nextRound - monotonicNow()) + std::chrono::milliseconds(1);
         if (const auto datagram = m_socket->received().popFor(std::max(wait, std::chrono::milliseconds(0)))) {
-            handle(*datagram);
+            handleDatagram(*datagram);
         }
         reportEvents();
     }
 }
 
-void Membership::handle(const Datagram &datagram)
+void Membership::handleDatagram(const Datagram &datagram)
 {
     if (datagram.source.empty()) {
-        // Only wakes the thread.
+        // An empty datagram only wakes the thread.
         return;
     }
     const auto heartbeat = m_codec.decode(datagram.payload);
     if (!heartbeat) {
-        m_refused += 1;
+        m_rejectedDatagrams += 1;
         return;
     }
     const HybridTime remote {.wallMs = heartbeat->hybridWallMs, .counter = static_cast<uint32_t>(heartbeat->hybridCounter)};
@@ -158,18 +158,18 @@
     } else {
         m_clock.observe(remote, wallMsNow());
     }
-    const auto time = stamp();
-    std::vector<OutgoingHeartbeat> answers;
+    const auto time = timestamp();
+    std::vector<OutgoingHeartbeat> responses;
     {
         const std::lock_guard lock(m_mutex);
-        answers = m_view.receive(*heartbeat, datagram.source, monotonicNow(), time);
+        responses = m_view.receive(*heartbeat, datagram.source, monotonicNow(), time);
     }
-    sendAll(answers);
+    sendAll(responses);
 }
 
 void Membership::sendRound()
 {
-    const auto time = stamp();
+    const auto time = timestamp();
     std::vector<OutgoingHeartbeat> heartbeats;
     {
         const std::lock_guard lock(m_mutex);
@@ -213,7 +213,7 @@
         case MembershipChange::Lost:
             callIfSet(hooks.onLost, event.member);
             break;
-        case MembershipChange::OffersDocument:
+        case MembershipChange::DocumentOffered:
             callIfSet(hooks.onDocumentOffered, event.documentVersion, event.member);
             break;
         case MembershipChange::CrashReported:
@@ -226,7 +226,7 @@
     }
 }
 
-HybridTime Membership::stamp()
+HybridTime Membership::timestamp()
 {
     return m_options.hooks.tick ? m_options.hooks.tick(wallMsNow()) : m_clock.tick(wallMsNow());
 }
--- a/Libraries/LibMembership/Membership.thrift
+++ b/Libraries/LibMembership/Membership.thrift
@@ -1,21 +1,21 @@
-// Messages between gateways. Renew the generated code with Meta/generate_thrift.sh. Field numbers are never reused.
+// Messages between gateways. Regenerate the C++ code with Meta/generate_thrift.sh. Field numbers are never reused.
 namespace cpp Jujube.Wire
 
-// What a digest says about a member.
+// What a digest reports about a member.
 enum DigestKind {
-    // Alive: the sequence number was heard.
+    // Alive: the heartbeat with the sequence number was received.
     Alive = 0,
-    // Nothing later than the sequence number was heard by a gateway that expects a heartbeat every round.
+    // A gateway that expects a heartbeat every round received none after the sequence number.
     Suspect = 1,
     // Alive and draining.
     Leaving = 2,
-    // Has said that it exits.
+    // Has announced that it exits.
     Departed = 3,
 }
 
-// The latest that the sender knows of another member. Receivers that do not know the identity ask for its record.
+// The latest state of another member that the sender knows. Receivers that do not know the identity request its record.
 struct MemberDigest {
-    // Hash of name and incarnation, see memberIdentity().
+    // Hash of name and incarnation, see hashOf().
     1: required i32 identity,
     2: required i64 sequence,
     // Time since the heartbeat with this sequence number was received, in units of 100 ms.
@@ -53,7 +53,7 @@
     1: required MemberRecord sender,
     2: required i64 sequence,
     3: required i64 documentVersion,
-    // Time since the table service last confirmed this document version, directly or through others, in ms. Left out if it never did.
+    // Time since the table service last confirmed this document version, to the sender or to one of its peers, in ms. Left out if it never did.
     4: optional i64 confirmationAgeMs,
     // Time since any gateway last reached the table service, in ms. Left out if unknown.
     5: optional i64 platformAgeMs,
@@ -62,15 +62,15 @@
     8: optional bool departed,
     9: required i64 hybridWallMs,
     10: required i32 hybridCounter,
-    // The receiver is asked to expect a heartbeat every round and to report a silence.
+    // The receiver is asked to expect a heartbeat every round and to report missing ones.
     11: optional bool watch,
     12: optional list<MemberDigest> digests,
     13: optional list<MemberRecord> records,
-    // Identities whose records the sender lacks.
+    // Identities whose records the sender requests.
     14: optional list<i32> wanted,
     15: optional list<CrashRecord> crashes,
-    // The sender has just started and asks for digests of many members.
+    // The sender has just started and requests digests of many members.
     16: optional bool joining,
-    // The sender has not heard of the receiver lately and asks for a heartbeat.
+    // The sender knows no recent heartbeat of the receiver and requests one.
     17: optional bool probe,
 }
--- a/Libraries/LibMembership/MembershipRound.cpp
+++ b/Libraries/LibMembership/MembershipRound.cpp
@@ -1,4 +1,4 @@
-// The part of MembershipView that runs once in each round: deadlines, and the heartbeats to send.
+// The part of MembershipView that runs once in each round: it applies the deadlines and creates the heartbeats to send.
 #include <LibMembership/MembershipView.h>
 
 #include <algorithm>
@@ -11,26 +11,26 @@
 namespace
 {
 
-// A change is sent in this many datagrams for each doubling of the membership. Two are enough without losses; three leave room for them.
-constexpr int SendingsPerDoubling = 3;
-// A join is less urgent than a loss, and a member that misses it asks for the record.
-constexpr int JoinSendings = 4;
-constexpr int RequestsPerRound = 8;
-constexpr size_t RecordsPerDatagram = 2;
-constexpr size_t SeedsPerRound = 3;
+// A change is sent in this many datagrams for each doubling of the membership. Two suffice without packet loss; three tolerate losses.
+constexpr int TransmissionsPerDoubling = 3;
+// A join is less urgent than the loss of a member, and a member that misses it requests the record.
+constexpr int JoinTransmissions = 4;
+constexpr int MaxRecordRequestsPerRound = 8;
+constexpr size_t MaxRecordsPerDatagram = 2;
+constexpr size_t MaxSeedsPerRound = 3;
 // The release of a watcher is repeated, because a datagram may be lost.
-constexpr int ReleaseSendings = 2;
-// A process that exits tells this many reachable members directly.
-constexpr size_t DepartureReceivers = 8;
+constexpr int ReleaseTransmissions = 2;
+// A process that exits notifies at most this many reachable members directly.
+constexpr size_t MaxDepartureReceivers = 8;
 
-// Ages on the wire are non-negative.
+// Returns the age for the wire, where ages are not negative.
 int64_t ageMs(MonotonicTime now, MonotonicTime at)
 {
     return std::max<int64_t>(0, std::chrono::duration_cast<std::chrono::milliseconds>(now - at).count());
 }
 
-// Takes up to count names that still have sendings left, those with the most first.
-std::vector<std::string> takeNames(std::map<std::string, int> &queue, size_t count)
+// Returns up to count names, those with the most transmissions left first, and counts one transmission for each.
+std::vector<std::string> takeQueuedNames(std::map<std::string, int> &queue, size_t count)
 {
     std::vector<std::pair<int, std::string>> order;
     order.reserve(queue.size());
@@ -51,38 +51,38 @@
 
 } // namespace
 
-std::vector<OutgoingHeartbeat> MembershipView::round(MonotonicTime now, const HybridTime &stamp, std::mt19937_64 &random)
+std::vector<OutgoingHeartbeat> MembershipView::round(MonotonicTime now, const HybridTime &timestamp, std::mt19937_64 &random)
 {
-    noteFreeze(now);
+    detectFreeze(now);
     applyDeadlines(now);
-    forgetGone(now);
-    m_crashes.forgetOld(now);
-    m_requestsLeft = RequestsPerRound;
+    removeExpiredMembers(now);
+    m_crashes.removeExpired(now);
+    m_recordRequestsLeft = MaxRecordRequestsPerRound;
     m_sequence += 1;
-    const auto peers = plan(now, random);
+    const auto peers = planRound(now, random);
     std::vector<OutgoingHeartbeat> out;
     for (const auto &address : peers.watchers) {
-        auto heartbeat = fullHeartbeat(now, stamp, random);
+        auto heartbeat = fullHeartbeat(now, timestamp, random);
         heartbeat.__set_watch(true);
         out.push_back({address, std::move(heartbeat)});
     }
-    // A former watcher has to hear that no further heartbeats follow, or it would report a silence.
+    // A former watcher must be notified that no further heartbeats follow, or it would report them as missing.
     releaseFormerWatchers(peers.watchers);
-    for (auto &[address, left] : m_released) {
+    for (auto &[address, left] : m_releasedWatchers) {
         left -= 1;
-        out.push_back({address, basicHeartbeat(now, stamp)});
+        out.push_back({address, basicHeartbeat(now, timestamp)});
     }
-    std::erase_if(m_released, [](const auto &released) { return released.second <= 0; });
+    std::erase_if(m_releasedWatchers, [](const auto &released) { return released.second <= 0; });
     for (const auto &address : peers.others) {
-        out.push_back({address, fullHeartbeat(now, stamp, random)});
+        out.push_back({address, fullHeartbeat(now, timestamp, random)});
     }
     for (const auto &address : peers.unreachable) {
-        auto heartbeat = basicHeartbeat(now, stamp);
+        auto heartbeat = basicHeartbeat(now, timestamp);
         heartbeat.__set_probe(true);
         out.push_back({address, std::move(heartbeat)});
     }
-    for (const auto &address : seedsToTry(random)) {
-        out.push_back({address, basicHeartbeat(now, stamp)});
+    for (const auto &address : selectSeeds(random)) {
+        out.push_back({address, basicHeartbeat(now, timestamp)});
     }
     return out;
 }
@@ -90,15 +90,15 @@
 void MembershipView::releaseFormerWatchers(const std::vector<std::string> &watchers)
 {
     for (const auto &former : m_watchers) {
-        m_released[former] = ReleaseSendings;
+        m_releasedWatchers[former] = ReleaseTransmissions;
     }
     for (const auto &watcher : watchers) {
-        m_released.erase(watcher);
+        m_releasedWatchers.erase(watcher);
     }
     m_watchers = watchers;
 }
 
-std::vector<OutgoingHeartbeat> MembershipView::depart(MonotonicTime now, const HybridTime &stamp, std::mt19937_64 &random)
+std::vector<OutgoingHeartbeat> MembershipView::depart(MonotonicTime now, const HybridTime &timestamp, std::mt19937_64 &random)
 {
     m_departed = true;
     m_sequence += 1;
@@ -109,25 +109,25 @@
         }
     });
     std::shuffle(addresses.begin(), addresses.end(), random);
-    addresses.resize(std::min(addresses.size(), DepartureReceivers));
+    addresses.resize(std::min(addresses.size(), MaxDepartureReceivers));
     std::vector<OutgoingHeartbeat> out;
     out.reserve(addresses.size());
     for (auto &address : addresses) {
-        out.push_back({std::move(address), basicHeartbeat(now, stamp)});
+        out.push_back({std::move(address), basicHeartbeat(now, timestamp)});
     }
     return out;
 }
 
-void MembershipView::noteFreeze(MonotonicTime now)
+void MembershipView::detectFreeze(MonotonicTime now)
 {
-    const bool wasFrozen = m_lastRound && now - *m_lastRound > m_options.tuning.frozenAfter;
+    const bool wasFrozen = m_lastRound && now - *m_lastRound > m_options.tuning.freezeThreshold;
     m_lastRound = now;
     if (!wasFrozen) {
         return;
     }
-    // The silence was this process's own. Members get the time to be heard of again, and the view counts as stale until one was.
+    // Heartbeats are missing because this process was frozen. Members get time to be seen again, and the view is not fresh until a heartbeat is received.
     m_fresh = false;
-    m_heldUntil = now + m_table.contactTimeout();
+    m_deadlinesSuspendedUntil = now + m_table.contactTimeout();
     m_table.forEach([now](MemberEntry &entry) {
         entry.watched = false;
         if (entry.suspectSince) {
@@ -138,38 +138,38 @@
 
 void MembershipView::applyDeadlines(MonotonicTime now)
 {
-    if (m_heldUntil && now < *m_heldUntil) {
+    if (m_deadlinesSuspendedUntil && now < *m_deadlinesSuspendedUntil) {
         return;
     }
-    m_heldUntil = std::nullopt;
+    m_deadlinesSuspendedUntil = std::nullopt;
     m_table.forEach([this, now](MemberEntry &entry) {
-        if (entry.goneSince || !entry.member.evidenceAt) {
+        if (entry.goneSince || !entry.member.lastHeartbeatAt) {
             return;
         }
-        const auto silence = now - *entry.member.evidenceAt;
+        const auto silence = now - *entry.member.lastHeartbeatAt;
         if (!entry.suspectSince && entry.watched && silence > m_options.tuning.watchTimeout) {
             entry.suspectSince = now;
             entry.suspicionReported = true;
-            spread(entry);
+            disseminate(entry);
         } else if (!entry.suspectSince && silence > m_table.staleTimeout()) {
             entry.suspectSince = now;
-        } else if (entry.suspectSince && now - *entry.suspectSince > m_options.tuning.refuteTime) {
+        } else if (entry.suspectSince && now - *entry.suspectSince > m_options.tuning.suspicionTimeout) {
             markGone(entry, now);
         }
     });
 }
 
-void MembershipView::forgetGone(MonotonicTime now)
+void MembershipView::removeExpiredMembers(MonotonicTime now)
 {
     std::vector<std::string> names;
     m_table.forEach([this, now, &names](const MemberEntry &entry) {
         const auto since = entry.goneSince.value_or(entry.createdAt);
-        const bool isOut = entry.goneSince || !entry.member.evidenceAt;
-        // Only a list that was fetched long after the member went says that it is gone for good.
-        const bool isUnlisted = m_listAt && *m_listAt - since > m_options.tuning.forgetUnlisted && entry.everListed && !entry.listed;
-        const bool isLongAgo = now - since > m_options.tuning.forgetAfter && !entry.listed;
-        const bool hasDeparted = entry.departed && now - since > m_options.tuning.forgetUnlisted;
-        if (isOut && (isUnlisted || isLongAgo || hasDeparted)) {
+        const bool isAbsent = entry.goneSince || !entry.member.lastHeartbeatAt;
+        // Only a VM list that was fetched long after the member became gone shows that it will not return.
+        const bool isUnlisted = m_listAt && *m_listAt - since > m_options.tuning.unlistedRetention && entry.wasListed && !entry.listed;
+        const bool isLongAgo = now - since > m_options.tuning.goneRetention && !entry.listed;
+        const bool hasDeparted = entry.departed && now - since > m_options.tuning.unlistedRetention;
+        if (isAbsent && (isUnlisted || isLongAgo || hasDeparted)) {
             names.push_back(entry.member.identity.name);
         }
     });
@@ -180,7 +180,7 @@
     }
 }
 
-PeerPlan MembershipView::plan(MonotonicTime now, std::mt19937_64 &random) const
+PeerPlan MembershipView::planRound(MonotonicTime now, std::mt19937_64 &random) const
 {
     std::vector<PeerCandidate> candidates;
     candidates.reserve(m_table.size());
@@ -196,31 +196,31 @@
                               .gossipAddress = identity.gossipAddress,
                               .reachable = m_table.isReachable(entry, now),
                               .mayWatch = entry.joined && !entry.goneSince});
-        if (m_table.isReachable(entry, now) && (!oldest || entry.member.evidenceAt < oldest->member.evidenceAt)) {
+        if (m_table.isReachable(entry, now) && (!oldest || entry.member.lastHeartbeatAt < oldest->member.lastHeartbeatAt)) {
             oldest = &entry;
         }
     });
     const auto &self = m_options.self;
     const PeerCandidate own {.hash = m_ownHash, .dataCentre = self.dataCentre, .region = self.region, .gossipAddress = self.gossipAddress};
-    auto peers = planPeers(own, candidates, m_options.tuning.watchers, m_options.tuning.crossRegionPerRound, random);
-    // Relays leave out some members for long: 162 s was the longest of 390 simulated members. These few are asked directly before they count as silent.
-    if (peers.unreachable.empty() && oldest && now - *oldest->member.evidenceAt > m_table.staleTimeout() / 3) {
+    auto peers = planPeers(own, candidates, m_options.tuning.watchers, m_options.tuning.crossRegionHeartbeatsPerRound, random);
+    // Digests may omit a member for a long time, up to 162 s in a simulation of 390 members. Such a member is probed directly before it becomes suspect.
+    if (peers.unreachable.empty() && oldest && now - *oldest->member.lastHeartbeatAt > m_table.staleTimeout() / 3) {
         peers.unreachable.push_back(oldest->member.identity.gossipAddress);
     }
     return peers;
 }
 
-std::vector<std::string> MembershipView::seedsToTry(std::mt19937_64 &random) const
+std::vector<std::string> MembershipView::selectSeeds(std::mt19937_64 &random) const
 {
     auto seeds = m_options.seeds;
     std::erase(seeds, m_options.self.gossipAddress);
     m_table.forEach([&seeds](const MemberEntry &entry) { std::erase(seeds, entry.member.identity.gossipAddress); });
     std::shuffle(seeds.begin(), seeds.end(), random);
-    seeds.resize(std::min(seeds.size(), SeedsPerRound));
+    seeds.resize(std::min(seeds.size(), MaxSeedsPerRound));
     return seeds;
 }
 
-Wire::Heartbeat MembershipView::basicHeartbeat(MonotonicTime now, const HybridTime &stamp) const
+Wire::Heartbeat MembershipView::basicHeartbeat(MonotonicTime now, const HybridTime &timestamp) const
 {
     Wire::Heartbeat heartbeat;
     heartbeat.sender = toWire(m_options.self);
@@ -244,43 +244,43 @@
     if (m_sequence <= m_options.tuning.joinRounds) {
         heartbeat.__set_joining(true);
     }
-    heartbeat.hybridWallMs = stamp.wallMs;
-    heartbeat.hybridCounter = static_cast<int32_t>(stamp.counter);
+    heartbeat.hybridWallMs = timestamp.wallMs;
+    heartbeat.hybridCounter = static_cast<int32_t>(timestamp.counter);
     return heartbeat;
 }
 
-Wire::Heartbeat MembershipView::fullHeartbeat(MonotonicTime now, const HybridTime &stamp, std::mt19937_64 &random)
+Wire::Heartbeat MembershipView::fullHeartbeat(MonotonicTime now, const HybridTime &timestamp, std::mt19937_64 &random)
 {
-    auto heartbeat = basicHeartbeat(now, stamp);
-    for (const auto &name : takeNames(m_newRecords, RecordsPerDatagram)) {
+    auto heartbeat = basicHeartbeat(now, timestamp);
+    for (const auto &name : takeQueuedNames(m_newRecords, MaxRecordsPerDatagram)) {
         if (const auto *entry = m_table.find(name)) {
             heartbeat.records.push_back(toWire(entry->member.identity));
         }
     }
     heartbeat.__isset.records = !heartbeat.records.empty();
-    heartbeat.crashes = m_crashes.take(now);
+    heartbeat.crashes = m_crashes.nextRecords(now);
     heartbeat.__isset.crashes = !heartbeat.crashes.empty();
     addDigests(heartbeat, now, random);
     heartbeat.__isset.digests = !heartbeat.digests.empty();
     return heartbeat;
 }
 
-Wire::Heartbeat MembershipView::joinAnswer(MonotonicTime now, const HybridTime &stamp)
+Wire::Heartbeat MembershipView::joinResponse(MonotonicTime now, const HybridTime &timestamp)
 {
-    auto answer = basicHeartbeat(now, stamp);
+    auto response = basicHeartbeat(now, timestamp);
     std::vector<const MemberEntry *> usable;
     m_table.forEach([&usable](const MemberEntry &entry) {
-        if (entry.member.evidenceAt && !entry.goneSince) {
+        if (entry.member.lastHeartbeatAt && !entry.goneSince) {
             usable.push_back(&entry);
         }
     });
-    // Successive answers go through all members in turn.
-    const size_t count = std::min(usable.size(), m_options.tuning.digestsPerJoinAnswer);
+    // Successive responses cover all members in turn.
+    const size_t count = std::min(usable.size(), m_options.tuning.digestsPerJoinResponse);
     for (size_t i = 0; i < count; ++i) {
-        answer.digests.push_back(digestOf(*usable[m_joinCursor++ % usable.size()], now));
+        response.digests.push_back(digestOf(*usable[m_joinCursor++ % usable.size()], now));
     }
-    answer.__isset.digests = true;
-    return answer;
+    response.__isset.digests = true;
+    return response;
 }
 
 void MembershipView::addDigests(Wire::Heartbeat &heartbeat, MonotonicTime now, std::mt19937_64 &random)
@@ -293,18 +293,18 @@
             heartbeat.digests.push_back(digestOf(entry, now));
         }
     };
-    for (const auto &name : takeNames(m_changes, limit)) {
+    for (const auto &name : takeQueuedNames(m_changes, limit)) {
         if (const auto *entry = m_table.find(name)) {
             add(*entry);
         }
     }
     std::vector<const MemberEntry *> usable;
     m_table.forEach([&usable](const MemberEntry &entry) {
-        if (entry.member.evidenceAt && !entry.suspectSince && !entry.goneSince) {
+        if (entry.member.lastHeartbeatAt && !entry.suspectSince && !entry.goneSince) {
             usable.push_back(&entry);
         }
     });
-    std::sort(usable.begin(), usable.end(), [](const auto *a, const auto *b) { return a->member.evidenceAt > b->member.evidenceAt; });
+    std::sort(usable.begin(), usable.end(), [](const auto *a, const auto *b) { return a->member.lastHeartbeatAt > b->member.lastHeartbeatAt; });
     std::vector<std::string_view> dataCentres;
     for (const auto *entry : usable) {
         const std::string_view dataCentre = entry->member.identity.dataCentre;
@@ -335,8 +335,8 @@
     if (entry.leaving) {
         digest.__set_kind(Wire::DigestKind::Leaving);
     }
-    if (entry.member.evidenceAt) {
-        digest.__set_ageTenths(static_cast<int32_t>(ageMs(now, *entry.member.evidenceAt) / 100));
+    if (entry.member.lastHeartbeatAt) {
+        digest.__set_ageTenths(static_cast<int32_t>(ageMs(now, *entry.member.lastHeartbeatAt) / 100));
     }
     if (entry.member.openStreams > 0) {
         digest.__set_openStreams(entry.member.openStreams);
@@ -347,16 +347,16 @@
     return digest;
 }
 
-void MembershipView::spread(const MemberEntry &entry)
+void MembershipView::disseminate(const MemberEntry &entry)
 {
-    m_changes[entry.member.identity.name] = sendings();
+    m_changes[entry.member.identity.name] = transmissions();
 }
 
-void MembershipView::spreadJoin(const MemberEntry &entry)
+void MembershipView::disseminateJoin(const MemberEntry &entry)
 {
     const auto &name = entry.member.identity.name;
-    m_newRecords[name] = JoinSendings;
-    m_changes.try_emplace(name, JoinSendings);
+    m_newRecords[name] = JoinTransmissions;
+    m_changes.try_emplace(name, JoinTransmissions);
 }
 
 void MembershipView::emit(MembershipChange change, const MemberEntry &entry, MonotonicTime now)
@@ -366,9 +366,9 @@
     m_events.push_back({.change = change, .member = std::move(member)});
 }
 
-int MembershipView::sendings() const
+int MembershipView::transmissions() const
 {
-    return SendingsPerDoubling * doublings(m_table.size() + 1);
+    return TransmissionsPerDoubling * doublings(m_table.size() + 1);
 }
 
 } // namespace Jujube
--- a/Libraries/LibMembership/MembershipView.cpp
+++ b/Libraries/LibMembership/MembershipView.cpp
@@ -11,8 +11,8 @@
 {
 
 // 16 records of about 70 bytes fit into one datagram.
-constexpr size_t MaxRecordsPerAnswer = 16;
-constexpr size_t MaxWanted = MaxRecordsPerAnswer;
+constexpr size_t MaxRecordsPerResponse = 16;
+constexpr size_t MaxWanted = MaxRecordsPerResponse;
 
 std::optional<MonotonicTime> latest(std::optional<MonotonicTime> a, std::optional<MonotonicTime> b)
 {
@@ -44,7 +44,7 @@
         if (listed.identity.name == m_options.self.name) {
             continue;
         }
-        // A list that is ahead of the heartbeats does not displace a member that is still heard of.
+        // A VM list that is ahead of the heartbeats does not replace a member that is not gone.
         auto *entry = m_table.find(listed.identity.name);
         if (!entry || (entry->goneSince && entry->member.identity.incarnation < listed.identity.incarnation)) {
             entry = admit(listed.identity, now);
@@ -53,87 +53,88 @@
             continue;
         }
         entry->listed = true;
-        entry->everListed = true;
-        entry->listIncarnation = std::max(entry->listIncarnation, listed.identity.incarnation);
+        entry->wasListed = true;
+        entry->listedIncarnation = std::max(entry->listedIncarnation, listed.identity.incarnation);
         if (listed.leaving && listed.identity.incarnation >= entry->member.identity.incarnation) {
             markLeaving(*entry, now);
         }
     }
 }
 
-std::vector<OutgoingHeartbeat> MembershipView::receive(const Wire::Heartbeat &heartbeat, const std::string &source, MonotonicTime now, const HybridTime &stamp)
+std::vector<OutgoingHeartbeat>
+MembershipView::receive(const Wire::Heartbeat &heartbeat, const std::string &source, MonotonicTime now, const HybridTime &timestamp)
 {
     auto identity = identityFromWire(heartbeat.sender);
     if (identity.gossipAddress.empty()) {
         identity.gossipAddress = source;
     }
     if (identity.name == m_options.self.name) {
-        takeNamesake(identity);
+        handleNameConflict(identity);
         return {};
     }
     auto *sender = admit(identity, now);
     if (!sender) {
-        // A displaced incarnation is told by whom it was displaced, so that it stops.
+        // A replaced incarnation receives the record of its successor, so that it stops.
         const auto *successor = m_table.find(identity.name);
-        return successor ? std::vector {OutgoingHeartbeat {identity.gossipAddress, recordsFor({static_cast<int32_t>(successor->hash)}, now, stamp)}}
+        return successor ? std::vector {OutgoingHeartbeat {identity.gossipAddress, recordsFor({static_cast<int32_t>(successor->hash)}, now, timestamp)}}
                          : std::vector<OutgoingHeartbeat> {};
     }
-    // Datagrams that arrive again are dropped whole.
+    // Outdated datagrams are dropped completely.
     if (heartbeat.sequence < sender->directSequence) {
         return {};
     }
     const bool isNewer = heartbeat.sequence > sender->directSequence;
-    takeSender(*sender, heartbeat, now);
+    applySender(*sender, heartbeat, now);
     std::vector<int32_t> wanted;
     for (const auto &record : heartbeat.records) {
         const auto known = identityFromWire(record);
         if (known.name == m_options.self.name) {
-            takeNamesake(known);
+            handleNameConflict(known);
         } else {
             admit(known, now);
         }
     }
     for (const auto &digest : heartbeat.digests) {
-        takeDigest(digest, heartbeat.documentVersion, now, wanted);
+        applyDigest(digest, heartbeat.documentVersion, now, wanted);
     }
     for (const auto &crash : heartbeat.crashes) {
         reportCrash(CrashReportBuffer::fromWire(crash, now), now);
     }
-    std::vector<OutgoingHeartbeat> answers;
+    std::vector<OutgoingHeartbeat> responses;
     if (!heartbeat.wanted.empty()) {
-        answers.push_back({identity.gossipAddress, recordsFor(heartbeat.wanted, now, stamp)});
+        responses.push_back({identity.gossipAddress, recordsFor(heartbeat.wanted, now, timestamp)});
     }
     if (heartbeat.probe && isNewer) {
-        answers.push_back({identity.gossipAddress, basicHeartbeat(now, stamp)});
+        responses.push_back({identity.gossipAddress, basicHeartbeat(now, timestamp)});
     }
-    // Answers to a joining member carry the same mark while this one joins too; only heartbeats of a round are answered.
+    // Responses to a joining member also have this flag while their sender is joining, so only the heartbeats of a round get a response.
     if (heartbeat.joining && heartbeat.wanted.empty() && isNewer) {
-        answers.push_back({identity.gossipAddress, joinAnswer(now, stamp)});
+        responses.push_back({identity.gossipAddress, joinResponse(now, timestamp)});
     }
-    if (!wanted.empty() && m_requestsLeft > 0) {
-        m_requestsLeft -= 1;
-        auto request = basicHeartbeat(now, stamp);
+    if (!wanted.empty() && m_recordRequestsLeft > 0) {
+        m_recordRequestsLeft -= 1;
+        auto request = basicHeartbeat(now, timestamp);
         wanted.resize(std::min(wanted.size(), MaxWanted));
         request.__set_wanted(wanted);
-        answers.push_back({identity.gossipAddress, std::move(request)});
+        responses.push_back({identity.gossipAddress, std::move(request)});
     }
-    return answers;
+    return responses;
 }
 
-Wire::Heartbeat MembershipView::recordsFor(const std::vector<int32_t> &wanted, MonotonicTime now, const HybridTime &stamp) const
+Wire::Heartbeat MembershipView::recordsFor(const std::vector<int32_t> &wanted, MonotonicTime now, const HybridTime &timestamp) const
 {
-    auto answer = basicHeartbeat(now, stamp);
+    auto response = basicHeartbeat(now, timestamp);
     for (const auto hash : wanted) {
         const auto *entry = m_table.findHash(static_cast<uint32_t>(hash));
-        if (entry && answer.records.size() < MaxRecordsPerAnswer) {
-            answer.records.push_back(toWire(entry->member.identity));
+        if (entry && response.records.size() < MaxRecordsPerResponse) {
+            response.records.push_back(toWire(entry->member.identity));
         }
     }
-    answer.__isset.records = true;
-    return answer;
+    response.__isset.records = true;
+    return response;
 }
 
-void MembershipView::takeNamesake(const MemberIdentity &identity)
+void MembershipView::handleNameConflict(const MemberIdentity &identity)
 {
     if (identity.incarnation > m_options.self.incarnation && !m_replaced) {
         m_replaced = true;
@@ -150,7 +151,7 @@
     });
 }
 
-void MembershipView::retireSameAddress(const MemberEntry &newcomer, MonotonicTime now)
+void MembershipView::markAddressPredecessorsGone(const MemberEntry &newcomer, MonotonicTime now)
 {
     m_table.forEach([this, &newcomer, now](MemberEntry &other) {
         const bool isSameAddress = other.member.identity.address == newcomer.member.identity.address;
@@ -160,46 +161,46 @@
     });
 }
 
-void MembershipView::takeEvidence(MemberEntry &entry, const Evidence &evidence, MonotonicTime now)
+void MembershipView::recordHeartbeat(MemberEntry &entry, const HeartbeatObservation &observation, MonotonicTime now)
 {
-    if (entry.departed || evidence.sequence <= entry.member.sequence) {
+    if (entry.departed || observation.sequence <= entry.member.sequence) {
         return;
     }
-    entry.member.sequence = evidence.sequence;
-    entry.member.evidenceAt = latest(entry.member.evidenceAt, evidence.at);
-    m_table.noteContact(entry.member.identity.dataCentre, evidence.at);
-    const bool isRecent = now - evidence.at < m_table.staleTimeout();
+    entry.member.sequence = observation.sequence;
+    entry.member.lastHeartbeatAt = latest(entry.member.lastHeartbeatAt, observation.at);
+    m_table.recordContact(entry.member.identity.dataCentre, observation.at);
+    const bool isRecent = now - observation.at < m_table.staleTimeout();
     if (!isRecent) {
         return;
     }
     const bool wasGone = entry.goneSince.has_value();
     if (entry.suspectSince || wasGone) {
-        // A watcher that was wrong once, because its link from this member loses datagrams, watches again after the next direct heartbeat.
+        // A watcher that was wrong, because the link from the member to it loses datagrams, watches again only after the next direct heartbeat.
         entry.watched = false;
         entry.suspectSince = std::nullopt;
         entry.goneSince = std::nullopt;
         entry.suspicionReported = false;
-        spread(entry);
+        disseminate(entry);
     }
     if (wasGone || !entry.joined) {
-        // Only at the first join: two live members with one address by mistake would otherwise declare each other gone for ever.
+        // Only at the first join: otherwise, two live members that share an address by mistake would keep marking each other as gone.
         if (!entry.joined) {
-            retireSameAddress(entry, now);
+            markAddressPredecessorsGone(entry, now);
         }
         entry.joined = true;
-        spreadJoin(entry);
+        disseminateJoin(entry);
         emit(MembershipChange::Joined, entry, now);
     }
 }
 
-void MembershipView::takeSender(MemberEntry &sender, const Wire::Heartbeat &heartbeat, MonotonicTime now)
+void MembershipView::applySender(MemberEntry &sender, const Wire::Heartbeat &heartbeat, MonotonicTime now)
 {
     m_peerAt = now;
     m_fresh = true;
     sender.directSequence = heartbeat.sequence;
     sender.member.openStreams = heartbeat.openStreams;
     sender.member.documentVersion = heartbeat.documentVersion;
-    takeEvidence(sender, {.sequence = heartbeat.sequence, .at = now}, now);
+    recordHeartbeat(sender, {.sequence = heartbeat.sequence, .at = now}, now);
     sender.watched = heartbeat.watch;
     if (heartbeat.leaving) {
         markLeaving(sender, now);
@@ -207,26 +208,27 @@
     if (heartbeat.departed && !sender.departed) {
         sender.departed = true;
         markGone(sender, now);
-        spread(sender);
+        disseminate(sender);
     }
-    takeDocument(heartbeat, sender.member, now);
+    applyDocumentVersion(heartbeat, sender.member, now);
 }
 
-void MembershipView::takeDocument(const Wire::Heartbeat &heartbeat, const Member &sender, MonotonicTime now)
+void MembershipView::applyDocumentVersion(const Wire::Heartbeat &heartbeat, const Member &sender, MonotonicTime now)
 {
     if (heartbeat.__isset.platformAgeMs && heartbeat.platformAgeMs >= 0) {
         m_platformAt = latest(m_platformAt, now - std::chrono::milliseconds(heartbeat.platformAgeMs));
     }
-    // Only a confirmation of the same version counts: an older head says nothing of a newer document, and a newer head confirms that this one is obsolete.
+    // Only a confirmation of the same version counts. A confirmation of an older version proves nothing about this one, and a confirmation of a newer version
+    // proves that this one is obsolete.
     if (heartbeat.documentVersion == m_own.documentVersion && heartbeat.__isset.confirmationAgeMs && heartbeat.confirmationAgeMs >= 0) {
         m_confirmedAt = latest(m_confirmedAt, now - std::chrono::milliseconds(heartbeat.confirmationAgeMs));
     }
     if (heartbeat.documentVersion > m_own.documentVersion) {
-        m_events.push_back({.change = MembershipChange::OffersDocument, .member = sender, .documentVersion = heartbeat.documentVersion});
+        m_events.push_back({.change = MembershipChange::DocumentOffered, .member = sender, .documentVersion = heartbeat.documentVersion});
     }
 }
 
-void MembershipView::takeDigest(const Wire::MemberDigest &digest, int64_t senderVersion, MonotonicTime now, std::vector<int32_t> &wanted)
+void MembershipView::applyDigest(const Wire::MemberDigest &digest, int64_t senderVersion, MonotonicTime now, std::vector<int32_t> &wanted)
 {
     const auto hash = static_cast<uint32_t>(digest.identity);
     if (hash == m_ownHash) {
@@ -239,14 +241,14 @@
         return;
     }
     if (digest.kind == Wire::DigestKind::Suspect) {
-        takeSuspicion(*entry, digest.sequence, now);
+        applySuspicion(*entry, digest.sequence, now);
         return;
     }
     if (digest.kind == Wire::DigestKind::Departed) {
         if (!entry->departed) {
             entry->departed = true;
             markGone(*entry, now);
-            spread(*entry);
+            disseminate(*entry);
         }
         return;
     }
@@ -254,24 +256,24 @@
         entry->member.openStreams = digest.openStreams;
         entry->member.documentVersion = digest.__isset.documentVersion ? digest.documentVersion : senderVersion;
     }
-    takeEvidence(*entry, {.sequence = digest.sequence, .at = now - std::chrono::milliseconds(100) * std::max(0, digest.ageTenths)}, now);
+    recordHeartbeat(*entry, {.sequence = digest.sequence, .at = now - std::chrono::milliseconds(100) * std::max(0, digest.ageTenths)}, now);
     if (digest.kind == Wire::DigestKind::Leaving) {
         markLeaving(*entry, now);
     }
 }
 
-void MembershipView::takeSuspicion(MemberEntry &entry, int64_t sequence, MonotonicTime now)
+void MembershipView::applySuspicion(MemberEntry &entry, int64_t sequence, MonotonicTime now)
 {
     if (sequence < entry.member.sequence) {
-        // This process knows better; the reporter and those that believed it have to hear the higher number.
-        spread(entry);
+        // This process knows a later heartbeat. The reporter and the members that adopted the suspicion must receive the higher sequence number.
+        disseminate(entry);
         return;
     }
     entry.member.sequence = sequence;
     if (!entry.goneSince && !entry.suspicionReported) {
         entry.suspectSince = entry.suspectSince.value_or(now);
         entry.suspicionReported = true;
-        spread(entry);
+        disseminate(entry);
     }
 }
 
@@ -281,7 +283,7 @@
         return;
     }
     entry.leaving = true;
-    spread(entry);
+    disseminate(entry);
     emit(MembershipChange::Leaving, entry, now);
 }
 
@@ -298,7 +300,7 @@
 
 void MembershipView::reportCrash(const CrashReport &report, MonotonicTime now)
 {
-    if (now - report.at > CrashReportBuffer::KeepTime || !m_crashes.merge(report, sendings())) {
+    if (now - report.at > CrashReportBuffer::RetentionTime || !m_crashes.merge(report, transmissions())) {
         return;
     }
     m_events.push_back({.change = MembershipChange::CrashReported, .member = {}});
@@ -313,8 +315,8 @@
 {
     Reachability result;
     m_table.forEach([this, now, &result](const MemberEntry &entry) {
-        const bool isOrderlyGone = entry.departed || (entry.leaving && entry.goneSince);
-        result.known += isOrderlyGone ? 0 : 1;
+        const bool hasLeftOrderly = entry.departed || (entry.leaving && entry.goneSince);
+        result.known += hasLeftOrderly ? 0 : 1;
         result.reachable += m_table.isReachable(entry, now) ? 1 : 0;
     });
     const auto age = [now](MonotonicTime at) { return std::chrono::duration_cast<std::chrono::milliseconds>(now - at); };
--- a/Libraries/LibMembership/PeerPlan.cpp
+++ b/Libraries/LibMembership/PeerPlan.cpp
@@ -17,7 +17,7 @@
     return a.dataCentre == b.dataCentre ? 0 : 1;
 }
 
-void addOneOf(const std::vector<const PeerCandidate *> &from, std::vector<std::string> &to, std::mt19937_64 &random)
+void addRandomAddress(const std::vector<const PeerCandidate *> &from, std::vector<std::string> &to, std::mt19937_64 &random)
 {
     if (!from.empty()) {
         to.push_back(from[random() % from.size()]->gossipAddress);
@@ -26,8 +26,8 @@
 
 } // namespace
 
-PeerPlan
-planPeers(const PeerCandidate &self, const std::vector<PeerCandidate> &candidates, size_t watchers, double crossRegionPerRound, std::mt19937_64 &random)
+PeerPlan planPeers(
+    const PeerCandidate &self, const std::vector<PeerCandidate> &candidates, size_t watchers, double crossRegionHeartbeatsPerRound, std::mt19937_64 &random)
 {
     std::vector<const PeerCandidate *> ring;
     for (const auto &candidate : candidates) {
@@ -35,7 +35,7 @@
             ring.push_back(&candidate);
         }
     }
-    // The unsigned difference of hashes is the way round the ring.
+    // The unsigned difference of two hashes is the distance between them around the hash ring.
     std::sort(ring.begin(), ring.end(), [&self](const auto *a, const auto *b) {
         return std::pair(distance(self, *a), a->hash - self.hash) < std::pair(distance(self, *b), b->hash - self.hash);
     });
@@ -56,11 +56,11 @@
             (candidate.reachable ? reachable : unreachable).push_back(&candidate);
         }
     }
-    addOneOf(near, plan.others, random);
-    if (std::uniform_real_distribution<>(0, 1)(random) * static_cast<double>(regionSize) < crossRegionPerRound) {
-        addOneOf(far, plan.others, random);
+    addRandomAddress(near, plan.others, random);
+    if (std::uniform_real_distribution<>(0, 1)(random) * static_cast<double>(regionSize) < crossRegionHeartbeatsPerRound) {
+        addRandomAddress(far, plan.others, random);
     }
-    addOneOf(unreachable, plan.unreachable, random);
+    addRandomAddress(unreachable, plan.unreachable, random);
     return plan;
 }
 
--- a/Libraries/LibMembership/PeerPlan.h
+++ b/Libraries/LibMembership/PeerPlan.h
@@ -14,21 +14,21 @@
     std::string region;
     std::string gossipAddress;
     bool reachable = false;
-    // Was heard of and is not gone. A suspect stays a watcher, because each change of watchers carries the risk of a wrong report.
+    // Whether a heartbeat is known and the member is not gone. A suspect member remains a watcher, because each change of watchers risks a false report.
     bool mayWatch = false;
 };
 
-// The receivers of one round. Their number does not grow with the membership.
+// The receivers of the heartbeats of one round. Their number does not grow with the membership.
 struct PeerPlan {
-    // The next members on the ring of hashes, in the same data centre if possible. They report a silence.
+    // The next members on the hash ring, in the same data centre if possible. They report missing heartbeats.
     std::vector<std::string> watchers;
-    // One random member of the region, and in a share of the rounds one of another region.
+    // One random member of the region, and in some rounds one of another region.
     std::vector<std::string> others;
-    // One member that is not reachable, so that a healed partition is noticed.
+    // One member that is not reachable, so that the end of a partition is detected.
     std::vector<std::string> unreachable;
 };
 
-PeerPlan
-planPeers(const PeerCandidate &self, const std::vector<PeerCandidate> &candidates, size_t watchers, double crossRegionPerRound, std::mt19937_64 &random);
+PeerPlan planPeers(
+    const PeerCandidate &self, const std::vector<PeerCandidate> &candidates, size_t watchers, double crossRegionHeartbeatsPerRound, std::mt19937_64 &random);
 
 } // namespace Jujube
--- a/Tests/LibMembership/TestHeartbeatCodec.cpp
+++ b/Tests/LibMembership/TestHeartbeatCodec.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-// Guards against datagrams that are fragmented on the way, and against losing the sender's own state when others' is dropped.
+// Guards against datagrams that are large enough to be fragmented, and against dropping the sender's own state together with that of other members.
 TEST(HeartbeatCodec, KeepsDatagramsBelowTheLimit)
 {
     auto heartbeat = sampleHeartbeat();
@@ -38,8 +38,8 @@
     EXPECT_GT(decoded->digests.size(), 100);
 }
 
-// Guards against damaged datagrams that are taken for heartbeats.
-RC_GTEST_PROP(HeartbeatCodec, RefusesAnyChangedByte, ())
+// Guards against corrupted datagrams being accepted as heartbeats.
+RC_GTEST_PROP(HeartbeatCodec, RejectsAnyChangedByte, ())
 {
     const HeartbeatCodec codec("key");
     auto datagram = codec.encode(sampleHeartbeat());
@@ -49,8 +49,8 @@
     RC_ASSERT(!codec.decode(datagram));
 }
 
-// Guards against a crash or an unbounded allocation on a body that is signed and malformed, for example from another version.
-RC_GTEST_PROP(HeartbeatCodec, SurvivesSignedGarbage, (const std::string &garbage))
+// Guards against a crash or an unbounded allocation when a signed body is malformed, for example because another version sent it.
+RC_GTEST_PROP(HeartbeatCodec, ToleratesSignedMalformedBodies, (const std::string &garbage))
 {
     const HeartbeatCodec codec("key");
     const auto body = "J1" + garbage.substr(0, 1000);
@@ -58,7 +58,7 @@
     RC_ASSERT(!decoded || !garbage.empty());
 }
 
-// Guards against a round whose datagrams grow with the membership, and against traffic between regions that does.
+// Guards against a number of datagrams per round, or of heartbeats between regions, that grows with the membership.
 TEST(PeerPlan, NumberOfReceiversDoesNotGrowWithTheMembership)
 {
     std::mt19937_64 random(1);
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -13,9 +13,9 @@
 {
     MembershipTuning tuning;
     tuning.round = 20ms;
-    // Only the departing member's own word can make it gone.
+    // With timeouts this long, a member becomes gone only by its own notice that it exits.
     tuning.watchTimeout = 1h;
-    tuning.staleBase = 1h;
+    tuning.staleTimeoutBase = 1h;
     return {.self = {.name = name, .dataCentre = "lahore", .region = "punjab", .address = "127.0.0.1:1", .gossipAddress = "", .incarnation = 1},
             .listen = "127.0.0.1:0",
             .seeds = std::move(seeds),
@@ -23,7 +23,7 @@
             .tuning = tuning};
 }
 
-// Waits without a limit of its own; the limit of the test program applies.
+// Waits without a timeout of its own; that of the test program applies.
 void waitFor(const std::function<bool()> &condition)
 {
     while (!condition()) {
@@ -33,8 +33,8 @@
 
 } // namespace
 
-// Guards against members that do not find each other from one seed, and against an exit that is noticed only by its silence.
-TEST(Membership, FindsPeersFromASeedAndHearsOfAnExit)
+// Guards against members that do not find each other through one seed, and against an exit that is noticed only by missing heartbeats.
+TEST(Membership, FindsPeersThroughASeedAndNoticesAnExit)
 {
     auto first = *Membership::start(optionsFor("a", "key", {}));
     std::atomic<int64_t> offered = 0;
@@ -54,7 +54,7 @@
 }
 
 // Guards against members of another cluster, or anyone else on the network, entering the view.
-TEST(Membership, IgnoresForeignDatagrams)
+TEST(Membership, IgnoresDatagramsSignedWithAnotherKey)
 {
     auto first = *Membership::start(optionsFor("a", "key", {}));
     auto foreign = *Membership::start(optionsFor("x", "other key", {first->gossipAddress()}));
--- a/Tests/LibMembership/TestMembershipView.cpp
+++ b/Tests/LibMembership/TestMembershipView.cpp
@@ -35,8 +35,8 @@
 
 } // namespace
 
-// Guards against datagrams that grow with the membership, against members that stay unknown, and against wrong reports of silence at five percent losses.
-TEST(MembershipView, FindsAllMembersAndLosesNoneWithLosses)
+// Guards against datagrams that grow with the membership, against members that stay unknown, and against false suspicions at five percent packet loss.
+TEST(MembershipView, FindsAllMembersAndLosesNoneDespitePacketLoss)
 {
     SimulatedCluster cluster(1);
     std::mt19937_64 random(2);
@@ -50,8 +50,8 @@
     EXPECT_EQ(countEvents(cluster, MembershipChange::Lost), 0);
 }
 
-// Guards against a dead member that callers are still sent to.
-TEST(MembershipView, SeesADeadMemberGoneEverywhere)
+// Guards against callers that are still directed to a dead member.
+TEST(MembershipView, AllMembersMarkADeadMemberAsGone)
 {
     SimulatedCluster cluster(3);
     cluster.addFleet(16);
@@ -66,7 +66,7 @@
     }
 }
 
-// Guards against a process that wakes and takes its own silence for everybody else's, and against a view that passes for fresh before anything was heard.
+// Guards against a process that treats all other members as silent after its own freeze, and against a view that is fresh before a heartbeat was received.
 TEST(MembershipView, FrozenMemberReturnsWithoutLosingOthers)
 {
     SimulatedCluster cluster(4);
@@ -86,22 +86,22 @@
     EXPECT_EQ(stateSeen(cluster, cluster.node(0), frozen), MemberState::Live);
 }
 
-// Guards against a member that is declared lost because one link carries nothing in one direction.
-TEST(MembershipView, OneWayLossLosesNobody)
+// Guards against a member that is declared lost because one link loses all datagrams in one direction.
+TEST(MembershipView, OneWayPacketLossLosesNoMember)
 {
     SimulatedCluster cluster(5);
-    // With this many members, relayed ages alone are too old to keep a watcher from reporting a silence.
+    // With this many members, the ages in digests alone are too old to keep a watcher from reporting missing heartbeats.
     cluster.addFleet(80);
     cluster.run(30s);
-    const auto isDeaf = [](const Node &node) { return node.identity.dataCentre == "dc-1"; };
-    cluster.drops = [&cluster, isDeaf](const Node &from, const Node &to) { return &from == &cluster.node(1) && isDeaf(to); };
+    const auto isInUnreachedDataCentre = [](const Node &node) { return node.identity.dataCentre == "dc-1"; };
+    cluster.drops = [&cluster, isInUnreachedDataCentre](const Node &from, const Node &to) { return &from == &cluster.node(1) && isInUnreachedDataCentre(to); };
     cluster.run(40s);
     EXPECT_EQ(countEvents(cluster, MembershipChange::Lost), 0);
     EXPECT_EQ(stateSeen(cluster, cluster.node(9), cluster.node(1)), MemberState::Live);
 }
 
-// Guards against former watchers that report a silence when the arrival of new members gives others their place.
-TEST(MembershipView, NewMembersRaiseNoSuspicionOfOthers)
+// Guards against former watchers that report missing heartbeats after new members have replaced them as watchers.
+TEST(MembershipView, NewMembersCauseNoSuspicionOfOthers)
 {
     SimulatedCluster cluster(13);
     for (int i = 0; i < 48; ++i) {
@@ -121,14 +121,15 @@
     EXPECT_EQ(suspicions, 0);
 }
 
-// Guards against a minority that forgets the other side and takes itself for a majority, and against sides that do not find each other again.
-TEST(MembershipView, RegionsApartForMinutesKeepCountingEachOther)
+// Guards against a minority that removes the members of the other side and then considers itself a majority, and against sides that do not find each other
+// again.
+TEST(MembershipView, RegionsPartitionedForMinutesStillCountEachOther)
 {
     SimulatedCluster cluster(6);
     cluster.addFleet(24);
     cluster.run(20s);
-    const auto isApart = [](const Node &node) { return node.identity.region == "region-2"; };
-    cluster.drops = [isApart](const Node &from, const Node &to) { return isApart(from) != isApart(to); };
+    const auto isInSeparatedRegion = [](const Node &node) { return node.identity.region == "region-2"; };
+    cluster.drops = [isInSeparatedRegion](const Node &from, const Node &to) { return isInSeparatedRegion(from) != isInSeparatedRegion(to); };
     cluster.run(15s);
     const auto minority = cluster.node(2).view->reachability(cluster.now());
     EXPECT_EQ(minority.reachable, 6);
@@ -143,7 +144,7 @@
     }
 }
 
-// Guards against state that piles up, or members that stay unknown, while every node is replaced under its old name.
+// Guards against state that accumulates, or members that stay unknown, while every node is replaced under its old name.
 TEST(MembershipView, AllMembersAreReplacedOneAfterTheOther)
 {
     SimulatedCluster cluster(7);
@@ -165,8 +166,8 @@
     }
 }
 
-// Guards against an old process, woken after its replacement, that is taken for the member or does not learn that it should stop.
-TEST(MembershipView, OldIncarnationIsIgnoredAndToldSo)
+// Guards against an old process that continues after it was replaced and is accepted as the member, or is not notified that it should stop.
+TEST(MembershipView, OldIncarnationIsIgnoredAndNotified)
 {
     SimulatedCluster cluster(8);
     cluster.addFleet(6);
@@ -187,13 +188,13 @@
     EXPECT_EQ(cluster.node(0).view->holderState(successor.identity), HolderState::Present);
 }
 
-// Guards against a dead process that stays live for a while beside its successor of another name, and against two live members with one address by mistake
-// that declare each other gone for ever.
+// Guards against a dead process that stays live for a while after a successor of another name has started at its address, and against two live members that
+// share an address by mistake and keep marking each other as gone.
 TEST(MembershipView, SuccessorAtTheSameAddressReplacesOnce)
 {
     MembershipView view({.self = {.name = "self"}, .seeds = {}, .tuning = {}});
     const MonotonicTime now {std::chrono::hours(1)};
-    const auto hear = [&view, now](const std::string &name, int64_t incarnation, int64_t sequence) {
+    const auto receiveHeartbeat = [&view, now](const std::string &name, int64_t incarnation, int64_t sequence) {
         Wire::Heartbeat heartbeat;
         heartbeat.sender.name = name;
         heartbeat.sender.address = "10.0.0.1:8443";
@@ -205,18 +206,18 @@
         const auto members = view.members(now);
         return std::count_if(members.begin(), members.end(), [](const Member &member) { return member.state == MemberState::Gone; });
     };
-    hear("old", 1, 1);
-    hear("new", 2, 1);
+    receiveHeartbeat("old", 1, 1);
+    receiveHeartbeat("new", 2, 1);
     EXPECT_EQ(countGone(), 1);
-    hear("newest", 3, 1);
+    receiveHeartbeat("newest", 3, 1);
     EXPECT_EQ(countGone(), 2);
-    hear("old", 1, 2);
-    hear("new", 2, 2);
+    receiveHeartbeat("old", 1, 2);
+    receiveHeartbeat("new", 2, 2);
     EXPECT_EQ(countGone(), 0);
 }
 
-// Guards against a VM list that is late or wrong: members that it lacks, incarnations that it gets wrong, and a leaving member that it calls live again.
-TEST(MembershipView, WrongVmListDoesNotDisplaceWhatIsHeard)
+// Guards against the effects of a late or wrong VM list: missing members, wrong incarnations, and a leaving member that is listed as live again.
+TEST(MembershipView, WrongVmListDoesNotReplaceLiveMembers)
 {
     SimulatedCluster cluster(9);
     cluster.addFleet(4);
@@ -243,7 +244,7 @@
     EXPECT_EQ(stateSeen(cluster, cluster.node(3), cluster.node(2)), MemberState::Live);
 }
 
-// Guards against permits that are taken from a holder which was merely never listed, and against permits of a machine that is gone for good.
+// Guards against permits that are taken from a holder that was merely never listed, and against permits that are kept for a VM that will not return.
 TEST(MembershipView, HolderIsUnlistedOnlyAfterItWasListed)
 {
     SimulatedCluster cluster(10);
@@ -257,8 +258,8 @@
     EXPECT_EQ(view.holderState(holder), HolderState::Unlisted);
 }
 
-// Guards against a confirmation of another version passing for one of the own version, and against ages that start anew at each relay.
-TEST(MembershipView, ConfirmationTravelsOnlyBetweenEqualVersions)
+// Guards against a confirmation of another version being counted for the own version, and against ages that start from zero when they are passed on.
+TEST(MembershipView, ConfirmationSpreadsOnlyBetweenEqualVersions)
 {
     SimulatedCluster cluster(11);
     cluster.addFleet(3);
@@ -272,8 +273,8 @@
     EXPECT_LT(*cluster.node(1).view->confirmedAt() - confirmedAt, 2s);
     EXPECT_FALSE(cluster.node(2).view->confirmedAt());
     EXPECT_GE(cluster.node(2).view->reachability(cluster.now()).platformAge, 8s);
-    EXPECT_GT(countEvents(cluster.node(2), MembershipChange::OffersDocument), 0);
-    EXPECT_EQ(countEvents(cluster.node(1), MembershipChange::OffersDocument), 0);
+    EXPECT_GT(countEvents(cluster.node(2), MembershipChange::DocumentOffered), 0);
+    EXPECT_EQ(countEvents(cluster.node(1), MembershipChange::DocumentOffered), 0);
 }
 
 // Guards against crash reports that do not reach all members or that grow without bound.
