--- a/Libraries/LibPlatform/HttpTransport.h
+++ b/Libraries/LibPlatform/HttpTransport.h
@@ -6,7 +6,7 @@
 namespace Jujube
 {
 
-// Makes a call and waits for its answer. HttpClient::call() in production; tests pass a function of their own.
+// Makes a call and waits for its response. HttpClient::call() in production; tests pass a function of their own.
 using HttpTransport = std::function<HttpAnswer(HttpCall)>;
 
 } // namespace Jujube
--- a/Libraries/LibPlatform/ObjectClient.h
+++ b/Libraries/LibPlatform/ObjectClient.h
@@ -14,8 +14,8 @@
     std::string error;
 };
 
-// Talks to the object store (section 13 of docs/design.md). Objects are named by the SHA-256 of their bytes, so writing one twice has no further effect and
-// a lost answer is resolved by writing again. Calls block and may be made from several threads.
+// A client of the object store (docs/design.md, section 13). Objects are named by the SHA-256 of their bytes, so writing one twice has no further effect and
+// a lost response is resolved by writing again. Calls block and may be made from several threads.
 class ObjectClient
 {
 public:
@@ -32,7 +32,7 @@
     // Errors: WriteEnd::NotDone for a name that is not 64 hexadecimal digits or does not match the bytes.
     WriteResult put(std::string_view name, std::string_view bytes) const;
 
-    // Bytes that do not have the named digest are damaged and end in ReadEnd::Failed.
+    // Returns ReadEnd::Failed for bytes whose digest differs from the name, because they are damaged.
     ObjectReadResult get(std::string_view name) const;
 
 private:
--- a/Libraries/LibPlatform/PlatformMessage.cpp
+++ b/Libraries/LibPlatform/PlatformMessage.cpp
@@ -42,40 +42,40 @@
     return out;
 }
 
-WriteEnd writeEndOf(const HttpAnswer &answer)
+WriteEnd writeEndOf(const HttpAnswer &response)
 {
-    if (answer.end == HttpEnd::NotSent) {
+    if (response.end == HttpEnd::NotSent) {
         return WriteEnd::NotDone;
     }
-    if (answer.end != HttpEnd::Complete) {
+    if (response.end != HttpEnd::Complete) {
         return WriteEnd::Unknown;
     }
-    if (answer.isSuccess()) {
+    if (response.isSuccess()) {
         return WriteEnd::Done;
     }
-    if (answer.status == PreconditionFailed) {
+    if (response.status == PreconditionFailed) {
         return WriteEnd::Conflict;
     }
-    if (answer.status == ServiceUnavailable || answer.status == TooManyRequests) {
+    if (response.status == ServiceUnavailable || response.status == TooManyRequests) {
         return WriteEnd::NotDone;
     }
-    const bool isRefusal = answer.status >= FirstClientError && answer.status < FirstServerError && answer.status != RequestTimeout;
-    return isRefusal ? WriteEnd::NotDone : WriteEnd::Unknown;
+    const bool isRejection = response.status >= FirstClientError && response.status < FirstServerError && response.status != RequestTimeout;
+    return isRejection ? WriteEnd::NotDone : WriteEnd::Unknown;
 }
 
-std::string describe(const HttpAnswer &answer)
+std::string describeFailure(const HttpAnswer &response)
 {
-    if (answer.end == HttpEnd::Complete) {
-        return absl::StrCat("the platform answered with status ", answer.status);
+    if (response.end == HttpEnd::Complete) {
+        return absl::StrCat("the platform responded with status ", response.status);
     }
-    return absl::StrCat("the platform gave no complete answer: ", answer.error);
+    return absl::StrCat("the platform sent no complete response: ", response.error);
 }
 
 absl::StatusOr<TableRow> rowFromJson(const nlohmann::json &json)
 {
-    const bool isRow
+    const bool hasRowFields
         = json.is_object() && json.contains("value") && json["value"].is_string() && json.contains("revision") && json["revision"].is_number_integer();
-    if (!isRow) {
+    if (!hasRowFields) {
         return makeError(ErrorKind::InvalidValue, "a table row needs a text \"value\" and a whole number \"revision\"");
     }
     TableRow row;
--- a/Libraries/LibPlatform/PlatformMessage.h
+++ b/Libraries/LibPlatform/PlatformMessage.h
@@ -15,12 +15,12 @@
 // Percent-encodes the value of a query parameter.
 std::string encodeParameter(std::string_view value);
 
-// Whether and how a write took effect, from the end of its call alone. Refusals before any effect (429 and 503, RFC 9110 and RFC 6585, and other 4xx) are
-// NotDone; 412 is Conflict; any other failure leaves the effect open.
-WriteEnd writeEndOf(const HttpAnswer &answer);
+// Whether a write took effect, derived from the result of its call alone. Rejections before any effect (429 and 503, RFC 9110 and RFC 6585, and other 4xx
+// except 408) are NotDone; 412 is Conflict; after any other failure, the effect is unknown.
+WriteEnd writeEndOf(const HttpAnswer &response);
 
-// A short description of how a call failed.
-std::string describe(const HttpAnswer &answer);
+// Returns a short description of how a call failed.
+std::string describeFailure(const HttpAnswer &response);
 
 // Errors: ErrorKind::InvalidValue if a field is missing or has the wrong type.
 absl::StatusOr<TableRow> rowFromJson(const nlohmann::json &json);
--- a/Libraries/LibPlatform/PlatformRateLimiter.cpp
+++ b/Libraries/LibPlatform/PlatformRateLimiter.cpp
@@ -13,7 +13,7 @@
 {
     for (const auto &info : platformUses()) {
         const RequestBudget::Options budgetOptions {.perSecond = ratePerNode(info.use, options.nodes), .burst = info.burst};
-        m_budgets.emplace_back(budgetOptions, now, fractionFor(info.use));
+        m_budgets.emplace_back(budgetOptions, now, initialTokens(info.use));
     }
 }
 
@@ -22,9 +22,9 @@
     return m_budgets.at(static_cast<size_t>(use));
 }
 
-double PlatformRateLimiter::fractionFor(PlatformUse use) const
+double PlatformRateLimiter::initialTokens(PlatformUse use) const
 {
-    // Multiples of the golden ratio spread the uses of one process, so that they do not send in step either.
+    // Multiples of the golden ratio give the uses of one process different fractions, so that they do not send at the same time either.
     constexpr double GoldenRatio = 0.6180339887;
     return std::fmod(m_random + static_cast<double>(use) * GoldenRatio, 1.0);
 }
@@ -38,7 +38,7 @@
     if (platformUseInfo(use).isWrite || now < m_nextProbe) {
         return false;
     }
-    // The next probe waits for this one's end, or for the cap if its end is never reported.
+    // The next probe waits until this one has ended, or until probeCap has passed if its end is never reported.
     m_nextProbe = now + m_options.probeCap;
     return true;
 }
@@ -48,7 +48,7 @@
     const std::lock_guard lock(m_mutex);
     if (m_failures >= m_options.failuresForOutage) {
         for (const auto &info : platformUses()) {
-            budget(info.use).empty(now, fractionFor(info.use));
+            budget(info.use).reset(now, initialTokens(info.use));
         }
     }
     m_failures = 0;
@@ -57,12 +57,12 @@
 void PlatformRateLimiter::onFailure(MonotonicTime now, double random)
 {
     const std::lock_guard lock(m_mutex);
-    // The cap of the counter only keeps it from overflowing in a long outage.
-    constexpr int MaxCounted = 1000;
-    m_failures = std::min(m_failures + 1, MaxCounted);
+    // The limit only keeps the counter from overflowing in a long outage.
+    constexpr int MaxCountedFailures = 1000;
+    m_failures = std::min(m_failures + 1, MaxCountedFailures);
     m_random = random;
     if (m_failures >= m_options.failuresForOutage) {
-        m_nextProbe = now + jitteredPause(m_options.probeBase, m_options.probeCap, m_failures - m_options.failuresForOutage + 1, random);
+        m_nextProbe = now + jitteredDelay(m_options.probeBase, m_options.probeCap, m_failures - m_options.failuresForOutage + 1, random);
     }
 }
 
@@ -82,7 +82,7 @@
     return std::max(std::chrono::milliseconds(0), wait);
 }
 
-void PlatformRateLimiter::setNodes(int nodes, MonotonicTime now)
+void PlatformRateLimiter::setNodeCount(int nodes, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     for (const auto &info : platformUses()) {
--- a/Libraries/LibPlatform/PlatformRateLimiter.h
+++ b/Libraries/LibPlatform/PlatformRateLimiter.h
@@ -9,16 +9,16 @@
 namespace Jujube
 {
 
-// Decides which requests a process may send to the platform: within the budget of each use, and during an outage only single reads after jittered pauses.
-// After an outage every budget starts with a random fraction of a token, so that what gathered in the meantime is not sent at once. With empty budgets
-// instead, a simulation of 390 nodes sent 340 writes in one second, because nodes that came back together stayed in step. Safe to use from several threads.
+// Limits the requests that a process sends to the platform: to the budget of each use, and during an outage to single reads after jittered delays. After an
+// outage, every budget starts with a random fraction of a token, so that the tokens accumulated in the meantime are not spent at once. With budgets that
+// started empty instead, a simulation of 390 nodes sent 340 writes in one second, because nodes that recovered together stayed synchronized. Thread-safe.
 class PlatformRateLimiter
 {
 public:
     struct Options {
-        // Nodes in the fleet, or the highest number known. Too low a number lets this process send more than its share.
+        // Number of nodes in the fleet, or the highest number known. If it is too low, this process sends more than its share.
         int nodes = 8;
-        // Calls in a row without an answer that count as an outage. One lost answer is no outage.
+        // Number of consecutive calls without a response that counts as an outage. A single lost response does not.
         int failuresForOutage = 3;
         std::chrono::milliseconds probeBase {1000};
         // 390 nodes that probe every 4 to 8 s send about 65 reads/s in an outage.
@@ -28,32 +28,33 @@
     // The random number is from [0, 1).
     PlatformRateLimiter(Options options, MonotonicTime now, double random);
 
-    // Takes a token of the use's budget. False means that the request must not be sent now. During an outage, no write is admitted, and one read at a time is.
+    // Takes a token from the budget of the use. Returns false if the request must not be sent now. During an outage, no writes are admitted, and reads only one
+    // at a time.
     bool admit(PlatformUse use, MonotonicTime now);
 
-    // The platform answered, whatever the answer says.
+    // Called when the platform has responded, whatever the response contains.
     void onResponse(MonotonicTime now);
 
-    // The platform did not answer or answered that it is down. The random number is from [0, 1).
+    // Called when the platform did not respond or responded that it is down. The random number is from [0, 1).
     void onFailure(MonotonicTime now, double random);
 
     bool isOutage() const;
 
-    // When a request that was not admitted may be tried again.
+    // Time until a request that was not admitted may be tried again.
     std::chrono::milliseconds timeUntilAdmission(PlatformUse use, MonotonicTime now) const;
 
-    void setNodes(int nodes, MonotonicTime now);
+    void setNodeCount(int nodes, MonotonicTime now);
 
 private:
     RequestBudget &budget(PlatformUse use);
-    double fractionFor(PlatformUse use) const;
+    double initialTokens(PlatformUse use) const;
 
     const Options m_options;
     mutable std::mutex m_mutex;
     std::vector<RequestBudget> m_budgets;
     int m_failures = 0;
     MonotonicTime m_nextProbe;
-    // The last random number, from which the fractions of the budgets follow.
+    // The latest random number, from which the initial tokens of the budgets are derived.
     double m_random;
 };
 
--- a/Libraries/LibPlatform/PlatformUse.cpp
+++ b/Libraries/LibPlatform/PlatformUse.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// The platform carries several hundred writes/s and about 2,000 reads/s for all clients. The fleet's limits add up to 256 writes/s and 1,376 reads/s; the rest
-// is left to other users of the platform. docs/platform-budget.md states the rates that follow at 8 and at 390 nodes.
+// The platform handles several hundred writes/s and about 2,000 reads/s for all clients. The fleet's limits add up to 256 writes/s and 1,376 reads/s; the rest
+// is left to other users of the platform. docs/platform-budget.md lists the resulting rates at 8 and at 390 nodes.
 constexpr std::array Uses {
     PlatformUseInfo {PlatformUse::DocumentHead, "document_head", false, false, 400, 1, 1},
     PlatformUseInfo {PlatformUse::DocumentObject, "document_object", false, false, 200, 2, 2},
--- a/Libraries/LibPlatform/PlatformUse.h
+++ b/Libraries/LibPlatform/PlatformUse.h
@@ -7,7 +7,7 @@
 namespace Jujube
 {
 
-// What a process asks of the platform. Each use has a budget of its own, so that a burst of one does not starve another.
+// A kind of request that processes send to the platform. Each use has a budget of its own, so that a burst of one does not starve another.
 enum class PlatformUse {
     DocumentHead,
     DocumentObject,
@@ -24,7 +24,7 @@
     Operator,
 };
 
-// The budget of one use. A node's rate is the lower of its own limit and its share of the fleet's limit.
+// The budget of one use. A node is one process of the fleet; its rate is the lower of its own limit and its share of the fleet's limit.
 struct PlatformUseInfo {
     PlatformUse use;
     std::string_view name;
--- a/Libraries/LibPlatform/RequestBudget.cpp
+++ b/Libraries/LibPlatform/RequestBudget.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Tokens gather in binary fractions of a second; without this allowance a token that is due exactly now could be found missing.
+// Tokens accumulate in binary fractions of a second. Without this allowance, rounding could make a token that is due exactly now appear missing.
 constexpr double RoundingAllowance = 1e-9;
 constexpr double MillisecondsPerSecond = 1000;
 
@@ -42,7 +42,7 @@
     return std::chrono::milliseconds(static_cast<int64_t>(std::ceil(missing / m_options.perSecond * MillisecondsPerSecond)));
 }
 
-void RequestBudget::empty(MonotonicTime now, double fraction)
+void RequestBudget::reset(MonotonicTime now, double fraction)
 {
     m_tokens = fraction;
     m_updated = std::max(m_updated, now);
--- a/Libraries/LibPlatform/RetrySchedule.cpp
+++ b/Libraries/LibPlatform/RetrySchedule.cpp
@@ -5,21 +5,21 @@
 namespace Jujube
 {
 
-std::optional<std::chrono::milliseconds> RetrySchedule::pauseAfter(int failedCalls, double random) const
+std::optional<std::chrono::milliseconds> RetrySchedule::delayAfter(int failedCalls, double random) const
 {
     if (failedCalls >= maxAttempts) {
         return std::nullopt;
     }
-    return jitteredPause(base, cap, failedCalls, random);
+    return jitteredDelay(base, cap, failedCalls, random);
 }
 
-std::chrono::milliseconds jitteredPause(std::chrono::milliseconds base, std::chrono::milliseconds cap, int failedCalls, double random)
+std::chrono::milliseconds jitteredDelay(std::chrono::milliseconds base, std::chrono::milliseconds cap, int failedCalls, double random)
 {
-    auto pause = base;
-    for (int i = 1; i < failedCalls && pause < cap; ++i) {
-        pause *= 2;
+    auto delay = base;
+    for (int i = 1; i < failedCalls && delay < cap; ++i) {
+        delay *= 2;
     }
-    const double whole = static_cast<double>(std::min(pause, cap).count());
+    const double whole = static_cast<double>(std::min(delay, cap).count());
     return std::chrono::milliseconds(static_cast<int64_t>(whole / 2 + whole / 2 * random));
 }
 
--- a/Libraries/LibPlatform/TableClient.cpp
+++ b/Libraries/LibPlatform/TableClient.cpp
@@ -16,10 +16,10 @@
 constexpr int NotFound = 404;
 constexpr size_t MaxKeyBytes = 1024;
 
-// A second attempt resolves a single lost answer. More attempts in a row would only add load to a service in trouble.
-constexpr int ResolveAttempts = 2;
+// A second attempt resolves a single lost response. Further attempts would only add load to a failing service.
+constexpr int MaxResolveAttempts = 2;
 
-bool isControl(char character)
+bool isControlCharacter(char character)
 {
     constexpr unsigned char FirstPrintable = 0x20;
     constexpr unsigned char Delete = 0x7f;
@@ -27,7 +27,7 @@
     return byte < FirstPrintable || byte == Delete;
 }
 
-// The row's revision after a write, or nothing if the answer does not say it.
+// The row's revision after a write, or nothing if the response does not contain it.
 std::optional<int64_t> revisionFrom(const std::string &body)
 {
     const auto json = parseJson(body);
@@ -51,7 +51,7 @@
 
 bool TableClient::isValidKey(std::string_view key)
 {
-    if (key.empty() || key.size() > MaxKeyBytes || std::any_of(key.begin(), key.end(), isControl) || !isValidUtf8(key)) {
+    if (key.empty() || key.size() > MaxKeyBytes || std::any_of(key.begin(), key.end(), isControlCharacter) || !isValidUtf8(key)) {
         return false;
     }
     const std::vector<absl::string_view> segments = absl::StrSplit(toAbsl(key), '/');
@@ -69,14 +69,14 @@
     if (!isValidKey(key)) {
         return {.error = invalidKey(key).error};
     }
-    const auto answer = read(absl::StrCat("/table/", encodePath(key)));
-    if (answer.end == HttpEnd::Complete && answer.status == NotFound) {
+    const auto response = read(absl::StrCat("/table/", encodePath(key)));
+    if (response.end == HttpEnd::Complete && response.status == NotFound) {
         return {.end = ReadEnd::Absent};
     }
-    if (!answer.isSuccess()) {
-        return {.error = describe(answer)};
+    if (!response.isSuccess()) {
+        return {.error = describeFailure(response)};
     }
-    const auto json = parseJson(answer.body);
+    const auto json = parseJson(response.body);
     auto row = json.ok() ? rowFromJson(*json) : absl::StatusOr<TableRow>(json.status());
     if (!row.ok()) {
         return {.error = std::string(row.status().message())};
@@ -87,11 +87,11 @@
 
 RowListResult TableClient::list(std::string_view prefix) const
 {
-    const auto answer = read(absl::StrCat("/table?prefix=", encodeParameter(prefix)));
-    if (!answer.isSuccess()) {
-        return {.error = describe(answer)};
+    const auto response = read(absl::StrCat("/table?prefix=", encodeParameter(prefix)));
+    if (!response.isSuccess()) {
+        return {.error = describeFailure(response)};
     }
-    const auto json = parseJson(answer.body);
+    const auto json = parseJson(response.body);
     if (!json.ok() || !json->is_object() || !json->contains("rows") || !(*json)["rows"].is_array()) {
         return {.error = "the platform's list of rows is not valid"};
     }
@@ -111,12 +111,12 @@
     call.url = absl::StrCat("http://", m_options.address, call.url);
     call.connectTimeout = m_options.connectTimeout;
     call.totalTimeout = m_options.writeTimeout;
-    // libcurl repeats a request on its own if a reused connection turns out to be closed. A repeated write would take its own first effect for a conflict.
+    // libcurl retries a request on its own if a reused connection turns out to be closed. A retried write would conflict with its own first effect.
     call.freshConnection = true;
-    const auto answer = m_options.transport(std::move(call));
-    WriteResult result {.end = writeEndOf(answer)};
+    const auto response = m_options.transport(std::move(call));
+    WriteResult result {.end = writeEndOf(response)};
     if (result.end == WriteEnd::Done) {
-        const auto revision = revisionFrom(answer.body);
+        const auto revision = revisionFrom(response.body);
         result.revision = revision.value_or(0);
         if (!revision && !key.empty()) {
             result.end = WriteEnd::Unknown;
@@ -124,7 +124,7 @@
         }
         return result;
     }
-    result.error = describe(answer);
+    result.error = describeFailure(response);
     if (result.end == WriteEnd::Conflict && !key.empty()) {
         addCurrentRow(result, key);
     }
@@ -193,14 +193,14 @@
 WriteResult TableClient::resolvedPut(std::string_view key, std::string_view value, int64_t revision, const OwnershipTest &isOwn) const
 {
     WriteResult result;
-    bool answerWasLost = false;
-    for (int attempt = 0; attempt < ResolveAttempts; ++attempt) {
+    bool responseWasLost = false;
+    for (int attempt = 0; attempt < MaxResolveAttempts; ++attempt) {
         result = conditionalPut(key, value, revision);
         if (result.end == WriteEnd::Unknown) {
-            answerWasLost = true;
+            responseWasLost = true;
             addCurrentRow(result, key);
         }
-        if (result.end == WriteEnd::Done || (result.end == WriteEnd::NotDone && !answerWasLost)) {
+        if (result.end == WriteEnd::Done || (result.end == WriteEnd::NotDone && !responseWasLost)) {
             return result;
         }
         if (result.isCurrentKnown && result.current && isOwn(result.current->value)) {
@@ -212,8 +212,8 @@
             return result;
         }
     }
-    // An earlier request whose answer was lost may still take effect, whatever became of the last one.
-    result.end = answerWasLost ? WriteEnd::Unknown : result.end;
+    // An earlier request whose response was lost may still take effect, whatever the result of the last one.
+    result.end = responseWasLost ? WriteEnd::Unknown : result.end;
     return result;
 }
 
--- a/Libraries/LibPlatform/TableClient.h
+++ b/Libraries/LibPlatform/TableClient.h
@@ -9,12 +9,12 @@
 namespace Jujube
 {
 
-// Whether a row with this value was written by the asking party, for example because it carries its nonce.
+// Returns whether the writer itself wrote a row with this value, for example because the value contains its nonce.
 using OwnershipTest = std::function<bool(const std::string &value)>;
 
-// Talks to the table service (section 13 of docs/design.md). Calls block, hold no state, and may be made from several threads.
+// A client of the table service (docs/design.md, section 13). Calls block, hold no state, and may be made from several threads.
 //
-// The caller keeps to its RequestBudget; see docs/platform-budget.md.
+// The calling code must stay within its RequestBudget; see docs/platform-budget.md.
 class TableClient
 {
 public:
@@ -27,7 +27,7 @@
         std::chrono::milliseconds writeTimeout {3000};
     };
 
-    // One write of a transaction. Revision 0 demands that the row does not exist.
+    // One write of a transaction. Revision 0 requires that the row does not exist.
     struct ConditionalWrite {
         std::string key;
         std::string value;
@@ -41,26 +41,26 @@
     // All rows whose key begins with the prefix, in the order of their keys.
     RowListResult list(std::string_view prefix) const;
 
-    // Creates the row. A lost answer ends in WriteEnd::Unknown.
+    // Creates the row. Returns WriteEnd::Unknown if the response is lost.
     WriteResult putIfAbsent(std::string_view key, std::string_view value) const;
 
-    // Replaces the row if it still has the revision. A lost answer ends in WriteEnd::Unknown.
+    // Replaces the row if it still has the revision. Returns WriteEnd::Unknown if the response is lost.
     WriteResult putIfRevision(std::string_view key, std::string_view value, int64_t revision) const;
 
-    // All writes take effect, or none does. Done and Conflict carry neither a revision nor a row.
+    // All writes take effect, or none does. The result contains neither a revision nor a row.
     WriteResult transaction(const std::vector<ConditionalWrite> &writes) const;
 
-    // Like putIfAbsent(), but resolves a lost answer by reading the row back and, where it is absent, by writing again: the first request may still arrive,
-    // so its absence proves nothing. The value must name its writer, so that both requests together have the effect of one. Ends in Unknown only if the
-    // table service does not answer the reads either.
+    // Like putIfAbsent(), but resolves a lost response by reading the row back and, if it is absent, by writing again: its absence proves nothing, because
+    // the first request may still arrive. The value must identify its writer, so that both requests together have the effect of one. Returns Unknown only if
+    // this does not resolve it either, for example because the table service does not respond to the reads.
     WriteResult putIfAbsentResolved(std::string_view key, std::string_view value, const OwnershipTest &isOwn) const;
 
-    // Like putIfRevision(), and resolves a lost answer in the same way. Conflict means that the row is not the caller's any more; its write may have been in
-    // force for a moment and been replaced.
+    // Like putIfRevision(), but resolves a lost response in the same way. Conflict means that the row is not the writer's any more; the write may have taken
+    // effect for a moment and been replaced.
     WriteResult putIfRevisionResolved(std::string_view key, std::string_view value, int64_t revision, const OwnershipTest &isOwn) const;
 
     // Whether a key can be sent: not empty, at most 1024 bytes, no control characters, and no empty, "." or ".." segment between slashes. HTTP servers
-    // rewrite such paths, so that two different keys would name the same row. Reads and writes of other keys end in Failed or NotDone.
+    // rewrite paths with such segments, so that two different keys would name the same row. Reads and writes of invalid keys return Failed or NotDone.
     static bool isValidKey(std::string_view key);
 
 private:
--- a/Libraries/LibPlatform/TableRow.h
+++ b/Libraries/LibPlatform/TableRow.h
@@ -8,7 +8,7 @@
 namespace Jujube
 {
 
-// A row of the table service. The service gives a row a higher revision with each write.
+// A row of the table service. The service increases the revision of a row with each write.
 struct TableRow {
     std::string key;
     std::string value;
@@ -20,9 +20,9 @@
 // How a read ended.
 enum class ReadEnd {
     Found,
-    // The service answered that there is no such row, object or list.
+    // The service responded that there is no such row, object or list.
     Absent,
-    // No usable answer arrived.
+    // No usable response was received.
     Failed,
 };
 
@@ -45,9 +45,9 @@
     Done,
     // The condition did not hold, and nothing was written.
     Conflict,
-    // The write provably has no effect: the request was not sent, or the service refused it.
+    // The write provably has no effect: the request was not sent, or the service rejected it.
     NotDone,
-    // The answer was lost. The write may have taken effect, and may still do so later.
+    // The response was lost. The write may have taken effect, or may still do so later.
     Unknown,
 };
 
@@ -55,9 +55,9 @@
     WriteEnd end = WriteEnd::Unknown;
     // The row's revision after the write. Valid if end is Done.
     int64_t revision = 0;
-    // Whether `current` holds the answer of a read after a conflict. False if that read failed.
+    // Whether `current` holds the result of a read after a conflict. False if that read failed.
     bool isCurrentKnown = false;
-    // The row that stands in the way. Nothing if the row does not exist.
+    // The row that caused the conflict. Empty if the row does not exist.
     std::optional<TableRow> current;
     std::string error;
 };
--- a/Libraries/LibPlatform/VmListClient.cpp
+++ b/Libraries/LibPlatform/VmListClient.cpp
@@ -60,12 +60,12 @@
 
 VmListResult VmListClient::read() const
 {
-    const auto answer = m_options.transport(
+    const auto response = m_options.transport(
         {.url = absl::StrCat("http://", m_options.address, "/vms"), .connectTimeout = m_options.connectTimeout, .totalTimeout = m_options.timeout});
-    if (!answer.isSuccess()) {
-        return {.error = describe(answer)};
+    if (!response.isSuccess()) {
+        return {.error = describeFailure(response)};
     }
-    const auto json = parseJson(answer.body);
+    const auto json = parseJson(response.body);
     auto vms = json.ok() ? vmsFromJson(*json) : absl::StatusOr<std::vector<Vm>>(json.status());
     if (!vms.ok()) {
         return {.error = std::string(vms.status().message())};
--- a/Libraries/LibPlatform/VmListClient.h
+++ b/Libraries/LibPlatform/VmListClient.h
@@ -39,7 +39,7 @@
 // Errors: ErrorKind::InvalidValue if a field is missing or has the wrong type.
 absl::StatusOr<std::vector<Vm>> vmsFromJson(const nlohmann::json &json);
 
-// Reads the VM list (section 13 of docs/design.md). Calls block and may be made from several threads.
+// Reads the VM list (docs/design.md, section 13). Calls block and may be made from several threads.
 class VmListClient
 {
 public:
@@ -53,7 +53,7 @@
 
     explicit VmListClient(Options options);
 
-    // One invalid entry makes the whole answer Failed: a caller that saw a list with gaps would take the missing VMs for gone.
+    // Fails if any entry is invalid: with an incomplete list, the calling code would treat the missing VMs as gone.
     VmListResult read() const;
 
 private:
--- a/Tests/LibPlatform/PlatformFixture.h
+++ b/Tests/LibPlatform/PlatformFixture.h
@@ -7,7 +7,7 @@
 namespace Jujube
 {
 
-// A platform stand-in inside the test's process, and a client for it.
+// A stand-in for the platform within the test's process, and a client for it.
 class PlatformFixture : public testing::Test
 {
 protected:
--- a/Tests/LibPlatform/TestPlatformBudget.cpp
+++ b/Tests/LibPlatform/TestPlatformBudget.cpp
@@ -27,7 +27,7 @@
     return sum;
 }
 
-// The highest numbers of reads and writes in one second after an outage, with every node eager for every use all the time.
+// The maximum numbers of reads and writes in one second after an outage, if every node always wants to send requests of every use.
 struct Peak {
     int reads = 0;
     int writes = 0;
@@ -71,7 +71,7 @@
 
 } // namespace
 
-// Guards against a budget that the platform cannot carry at either size.
+// Guards against budgets that exceed the platform's capacity at any size of the fleet.
 TEST(PlatformBudget, StaysBelowThePlatformsLimits)
 {
     for (const int nodes : {1, 8, 40, 390, 1000}) {
@@ -80,7 +80,7 @@
     }
 }
 
-// Guards against a surge at the end of an outage: bursts that gathered on all nodes while the platform was down.
+// Guards against a surge of requests at the end of an outage, from tokens that accumulated on all nodes while the platform was down.
 TEST(PlatformBudget, EndOfAnOutageCausesNoSurge)
 {
     for (const int nodes : {8, 390}) {
@@ -91,7 +91,7 @@
     }
 }
 
-// Guards against a page that states other budgets than those in force.
+// Guards against budgets in docs/platform-budget.md that differ from those in force.
 TEST(PlatformBudget, PageStatesTheBudgetsInForce)
 {
     std::stringstream page;
@@ -112,7 +112,7 @@
     }
 }
 
-// Guards against writes being sent into an outage, where each one ends with an unknown effect, and against many probes at once.
+// Guards against writes that are sent during an outage, each with an unknown effect, and against many probes at once.
 TEST(PlatformRateLimiter, ProbesWithSingleReadsDuringAnOutage)
 {
     PlatformRateLimiter gate({.nodes = 8}, Start, 0);
@@ -128,7 +128,7 @@
     EXPECT_TRUE(gate.admit(PlatformUse::DocumentHead, now));
     EXPECT_FALSE(gate.admit(PlatformUse::VmList, now));
     gate.onResponse(now);
-    // Twelve tokens would have gathered in the second before the outage alone.
+    // Twelve tokens would have accumulated in the second before the outage alone.
     int admitted = 0;
     while (gate.admit(PlatformUse::Claim, now)) {
         ++admitted;
@@ -137,7 +137,7 @@
     EXPECT_TRUE(gate.admit(PlatformUse::Claim, now + 1s));
 }
 
-// Guards against a budget that a time before the last one, seen by another thread, refills or breaks.
+// Guards against a budget that is refilled or corrupted by a time earlier than the last one, as another thread may have read it.
 TEST(RequestBudget, AllowsItsRateAndBurst)
 {
     RequestBudget budget({.perSecond = 2, .burst = 3}, Start);
@@ -152,14 +152,14 @@
     EXPECT_EQ(taken, 3);
 }
 
-// Guards against unbounded retries, and against clients that failed together coming back together.
+// Guards against unbounded retries, and against clients that failed together retrying together.
 TEST(RetrySchedule, IsBoundedAndJittered)
 {
     const RetrySchedule schedule {.maxAttempts = 3, .base = 200ms, .cap = 300ms};
-    EXPECT_EQ(schedule.pauseAfter(1, 0), 100ms);
-    EXPECT_EQ(schedule.pauseAfter(1, 0.5), 150ms);
-    EXPECT_EQ(schedule.pauseAfter(2, 0), 150ms);
-    EXPECT_EQ(schedule.pauseAfter(3, 0), std::nullopt);
+    EXPECT_EQ(schedule.delayAfter(1, 0), 100ms);
+    EXPECT_EQ(schedule.delayAfter(1, 0.5), 150ms);
+    EXPECT_EQ(schedule.delayAfter(2, 0), 150ms);
+    EXPECT_EQ(schedule.delayAfter(3, 0), std::nullopt);
 }
 
 } // namespace Jujube
--- a/Tests/LibPlatform/TestTableClient.cpp
+++ b/Tests/LibPlatform/TestTableClient.cpp
@@ -19,23 +19,23 @@
     return [wanted](const std::string &value) { return value == wanted; };
 }
 
-// A transport with prepared answers, in order; the last one repeats.
-HttpTransport answersInOrder(std::vector<HttpAnswer> answers)
+// A transport that returns the given responses in order and repeats the last one.
+HttpTransport responsesInOrder(std::vector<HttpAnswer> responses)
 {
-    return [answers = std::move(answers), next = std::make_shared<size_t>(0)](const HttpCall &) {
-        const auto index = std::min(*next, answers.size() - 1);
+    return [responses = std::move(responses), next = std::make_shared<size_t>(0)](const HttpCall &) {
+        const auto index = std::min(*next, responses.size() - 1);
         ++*next;
-        return answers.at(index);
+        return responses.at(index);
     };
 }
 
-const HttpAnswer LostAnswer {.end = HttpEnd::TimedOut};
+const HttpAnswer LostResponse {.end = HttpEnd::TimedOut};
 const HttpAnswer AbsentRow {.end = HttpEnd::Complete, .status = 404};
 
 } // namespace
 
-// Guards against a write whose condition does not hold taking effect, and against a conflict that hides the row in the way.
-TEST_F(TableClientTest, KeepsToConditions)
+// Guards against a write that takes effect although its condition does not hold, and against a conflict that does not return the current row.
+TEST_F(TableClientTest, WritesOnlyIfTheConditionHolds)
 {
     const auto client = table();
     const auto created = client.putIfAbsent("a/b c%/ü?", "one");
@@ -56,7 +56,7 @@
 }
 
 // Guards against a transaction of which only a part takes effect.
-TEST_F(TableClientTest, MakesTransactionsAsAWhole)
+TEST_F(TableClientTest, AppliesTransactionsAtomically)
 {
     const auto client = table();
     ASSERT_EQ(client.putIfAbsent("taken", "x").end, WriteEnd::Done);
@@ -66,8 +66,8 @@
     EXPECT_EQ(client.get("other").row.value, "2");
 }
 
-// Guards against a lost answer counting as done or as not done: the row may exist.
-TEST_F(TableClientTest, TellsLostAnswersFromRefusals)
+// Guards against a write whose response was lost being reported as done or as not done: the row may exist.
+TEST_F(TableClientTest, DistinguishesLostResponsesFromRejections)
 {
     const auto client = table();
     setFaults({{"lose_answers", 1}});
@@ -81,8 +81,8 @@
     EXPECT_EQ(client.get("m").end, ReadEnd::Failed);
 }
 
-// Guards against a claim whose answer was lost being taken for somebody else's, and against a lost request being taken for a claim.
-TEST_F(TableClientTest, ResolvesALostAnswerByReadingBack)
+// Guards against a claim whose response was lost being treated as another writer's, and against a lost request being treated as a claim.
+TEST_F(TableClientTest, ResolvesALostResponseByReadingBack)
 {
     const auto client = table();
     setFaults({{"lose_answers", 1}});
@@ -100,16 +100,16 @@
     EXPECT_EQ(client.putIfRevisionResolved("claim", "nonce-3", revision, equals("nonce-3")).end, WriteEnd::Done);
 }
 
-// Guards against "not done" although a first request whose answer was lost may still arrive after the row was found absent.
-TEST_F(TableClientTest, NeverCallsALostWriteNotDone)
+// Guards against the result "not done" although a first request whose response was lost may still arrive after the row was found absent.
+TEST_F(TableClientTest, NeverReportsALostWriteAsNotDone)
 {
-    const HttpAnswer refused {.end = HttpEnd::Complete, .status = 503};
-    const TableClient client({.address = "127.0.0.1:1", .transport = answersInOrder({LostAnswer, AbsentRow, refused, refused})});
+    const HttpAnswer rejected {.end = HttpEnd::Complete, .status = 503};
+    const TableClient client({.address = "127.0.0.1:1", .transport = responsesInOrder({LostResponse, AbsentRow, rejected, rejected})});
     EXPECT_EQ(client.putIfAbsentResolved("claim", "nonce", equals("nonce")).end, WriteEnd::Unknown);
 }
 
-// Guards against a repetition by libcurl turning a write's own first effect into a conflict: writes need connections of their own.
-TEST_F(TableClientTest, WritesOnFreshConnections)
+// Guards against a retry by libcurl that makes a write conflict with its own first effect: writes need connections of their own.
+TEST_F(TableClientTest, WritesUseFreshConnections)
 {
     std::vector<HttpCall> calls;
     const TableClient client({.address = "127.0.0.1:1", .transport = [&calls](HttpCall call) {
@@ -123,8 +123,8 @@
     EXPECT_TRUE(calls[1].freshConnection);
 }
 
-// Guards against two keys naming one row: servers rewrite paths with dots and doubled slashes.
-TEST_F(TableClientTest, RefusesKeysThatServersRewrite)
+// Guards against two keys that name the same row, because servers rewrite paths with dots and repeated slashes.
+TEST_F(TableClientTest, RejectsKeysThatServersRewrite)
 {
     for (const std::string key : {"", "a//b", "a/../b", "./a", "a/", "/a", "a\nb", "a\xff"}) {
         EXPECT_FALSE(TableClient::isValidKey(key)) << key;
@@ -133,7 +133,7 @@
     EXPECT_TRUE(TableClient::isValidKey("once/w/pay/capture/k..1"));
 }
 
-// Guards against damaged bytes being taken for the object that the digest names.
+// Guards against damaged bytes being accepted as the object that the digest names.
 TEST_F(TableClientTest, ChecksObjectsAgainstTheirNames)
 {
     const ObjectClient objects({.address = m_platform->address(), .transport = transport()});
@@ -142,12 +142,12 @@
     EXPECT_EQ(objects.get(name).end, ReadEnd::Absent);
     EXPECT_EQ(objects.put(name, "bytes").end, WriteEnd::Done);
     EXPECT_EQ(objects.get(name).bytes, "bytes");
-    const ObjectClient damaged({.address = "127.0.0.1:1", .transport = answersInOrder({{.end = HttpEnd::Complete, .status = 200, .body = "bytez"}})});
+    const ObjectClient damaged({.address = "127.0.0.1:1", .transport = responsesInOrder({{.end = HttpEnd::Complete, .status = 200, .body = "bytez"}})});
     EXPECT_EQ(damaged.get(name).end, ReadEnd::Failed);
 }
 
-// Guards against a list with an invalid entry being read without it, which would make its VM look gone; and against the stand-in's lag being ineffective.
-TEST_F(TableClientTest, ReadsTheVmListWholeOrNotAtAll)
+// Guards against an invalid entry being skipped, which would make its VM appear gone, and against a delay of the stand-in's list that has no effect.
+TEST_F(TableClientTest, ReadsTheVmListCompletelyOrFails)
 {
     const VmListClient client({.address = m_platform->address(), .transport = transport()});
     EXPECT_EQ(client.read().end, ReadEnd::Found);
