--- a/Libraries/LibOneTime/ClaimRecord.h
+++ b/Libraries/LibOneTime/ClaimRecord.h
@@ -11,7 +11,7 @@
 enum class ClaimState {
     // The owner may have sent the call, or may still send it.
     Claimed,
-    // The call ran and its answer is recorded.
+    // The call ran and its response is recorded.
     Done,
     // The call provably did not reach its target; it may be claimed again.
     NotRun,
@@ -30,7 +30,7 @@
     std::string bodyDigest;
     std::string gateway;
     int64_t wallMs = 0;
-    // The target's answer, for ClaimState::Done.
+    // The target's response. Valid for ClaimState::Done.
     int status = 0;
     std::string contentType;
     std::string body;
--- a/Libraries/LibOneTime/OneTimeCall.cpp
+++ b/Libraries/LibOneTime/OneTimeCall.cpp
@@ -7,7 +7,7 @@
 
 OneTimeCall::OneTimeCall(Options options, MonotonicTime now)
     : m_options(std::move(options))
-    , m_begin(now)
+    , m_startedAt(now)
 {
 }
 
@@ -33,32 +33,32 @@
 {
     switch (end) {
     case ClaimWriteEnd::Done:
-        return onOwned(row.revision, now);
+        return onClaimOwned(row.revision, now);
     case ClaimWriteEnd::Conflict:
         return onRow(row, now);
     case ClaimWriteEnd::NotDone:
-        if (m_writeUnresolved) {
-            return resolveOrRefuse();
+        if (m_isWriteUnresolved) {
+            return resolveOrReject();
         }
-        return refuse(ErrorKind::PlatformUnavailable, "the table service is unavailable; the call was not sent");
+        return reject(ErrorKind::PlatformUnavailable, "the table service is unavailable; the call was not sent");
     case ClaimWriteEnd::Unknown:
-        m_writeUnresolved = true;
-        return resolveOrRefuse();
+        m_isWriteUnresolved = true;
+        return resolveOrReject();
     }
     return {};
 }
 
-OneTimeSteps OneTimeCall::resolveOrRefuse()
+OneTimeSteps OneTimeCall::resolveOrReject()
 {
-    if (m_resolves >= m_options.resolveLimit) {
-        // A claim that still takes effect later belongs to a call that is never sent, so "not run" stays true.
+    if (m_resolveAttempts >= m_options.maxResolveAttempts) {
+        // Even if the claim takes effect later, its call is never sent, so "not run" stays true.
         OneTimeSteps steps {ReleaseClaim {.nonce = m_options.nonce, .notRunValue = outcomeText(ClaimState::NotRun, {})}};
-        auto refusal = refuse(ErrorKind::PlatformUnavailable, "the claim could not be confirmed; the call was not sent");
-        steps.insert(steps.end(), refusal.begin(), refusal.end());
+        auto rejection = reject(ErrorKind::PlatformUnavailable, "the claim could not be confirmed; the call was not sent");
+        steps.insert(steps.end(), rejection.begin(), rejection.end());
         return steps;
     }
-    ++m_resolves;
-    return {Delay {m_options.readPause}};
+    ++m_resolveAttempts;
+    return {Delay {m_options.readInterval}};
 }
 
 OneTimeSteps OneTimeCall::onTimer()
@@ -68,13 +68,13 @@
 
 OneTimeSteps OneTimeCall::onReadFailed(MonotonicTime now)
 {
-    if (m_writeUnresolved) {
-        return resolveOrRefuse();
+    if (m_isWriteUnresolved) {
+        return resolveOrReject();
     }
-    if (now - m_begin > m_options.claimDeadline) {
-        return refuse(ErrorKind::OutcomeUnknown, "another request with this idempotency key has not finished");
+    if (now - m_startedAt > m_options.claimDeadline) {
+        return reject(ErrorKind::OutcomeUnknown, "another request with this idempotency key has not finished");
     }
-    return {Delay {m_options.readPause}};
+    return {Delay {m_options.readInterval}};
 }
 
 OneTimeSteps OneTimeCall::onRead(const std::optional<ClaimRow> &row, MonotonicTime now)
@@ -82,7 +82,8 @@
     if (row) {
         return onRow(*row, now);
     }
-    // The lost write has not taken effect. Writing the same claim again is safe: whichever write lands first, the row carries the same nonce.
+    // The write whose response was lost has not taken effect. Writing the same claim again is safe: whichever write takes effect first, the row contains the
+    // same nonce.
     return writeClaim(0);
 }
 
@@ -90,10 +91,10 @@
 {
     const auto record = ClaimRecord::fromText(row.value);
     if (!record) {
-        return refuse(ErrorKind::Internal, "the record of this idempotency key is damaged");
+        return reject(ErrorKind::Internal, "the record of this idempotency key is damaged");
     }
     if (record->nonce == m_options.nonce && record->state == ClaimState::Claimed) {
-        return onOwned(row.revision, now);
+        return onClaimOwned(row.revision, now);
     }
     return onClaimOfOther(*record, row, now);
 }
@@ -101,7 +102,7 @@
 OneTimeSteps OneTimeCall::onClaimOfOther(const ClaimRecord &record, const ClaimRow &row, MonotonicTime now)
 {
     if (record.bodyDigest != m_options.bodyDigest) {
-        return refuse(ErrorKind::IdempotencyKeyReused, "this idempotency key was used with another body");
+        return reject(ErrorKind::IdempotencyKeyReused, "this idempotency key was used with another body");
     }
     switch (record.state) {
     case ClaimState::Done:
@@ -110,59 +111,59 @@
             .isReplay = true,
         }};
     case ClaimState::NotRun:
-        if (m_resolves >= m_options.resolveLimit) {
-            return refuse(ErrorKind::PlatformUnavailable, "the call was not sent; several requests with this key compete");
+        if (m_resolveAttempts >= m_options.maxResolveAttempts) {
+            return reject(ErrorKind::PlatformUnavailable, "the call was not sent; several requests with this key compete");
         }
-        ++m_resolves;
+        ++m_resolveAttempts;
         return writeClaim(row.revision);
     case ClaimState::Unknown:
-        return refuse(ErrorKind::OutcomeUnknown, "an earlier request with this key was sent and its outcome is not known");
+        return reject(ErrorKind::OutcomeUnknown, "an earlier request with this key was sent and its outcome is not known");
     case ClaimState::Claimed:
         break;
     }
-    m_writeUnresolved = false;
-    if (now - m_begin > m_options.claimDeadline) {
-        return refuse(ErrorKind::OutcomeUnknown, "another request with this idempotency key has not finished");
+    m_isWriteUnresolved = false;
+    if (now - m_startedAt > m_options.claimDeadline) {
+        return reject(ErrorKind::OutcomeUnknown, "another request with this idempotency key has not finished");
     }
-    return {Delay {m_options.readPause}};
+    return {Delay {m_options.readInterval}};
 }
 
-OneTimeSteps OneTimeCall::onOwned(uint64_t revision, MonotonicTime now)
+OneTimeSteps OneTimeCall::onClaimOwned(uint64_t revision, MonotonicTime now)
 {
     m_revision = revision;
-    if (m_called) {
-        return refuse(ErrorKind::Internal, "the call was claimed twice by the same request");
+    if (m_isCallSent) {
+        return reject(ErrorKind::Internal, "the call was claimed twice by the same request");
     }
-    if (now - m_begin > m_options.claimDeadline) {
-        // The process was suspended. The caller has given up, and others were told that the outcome is unknown.
+    if (now - m_startedAt > m_options.claimDeadline) {
+        // The process was frozen. The caller has given up, and other requests with this key were rejected because the outcome is unknown.
         auto steps = record(ClaimState::NotRun, {});
-        auto refusal = refuse(ErrorKind::PlatformUnavailable, "the claim took too long; the call was not sent");
-        steps.insert(steps.end(), refusal.begin(), refusal.end());
+        auto rejection = reject(ErrorKind::PlatformUnavailable, "the claim took too long; the call was not sent");
+        steps.insert(steps.end(), rejection.begin(), rejection.end());
         return steps;
     }
-    m_called = true;
+    m_isCallSent = true;
     return {SendCall {}};
 }
 
 OneTimeSteps OneTimeCall::onCalled(const CallResponse &response)
 {
     OneTimeSteps steps;
-    OneTimeSteps last;
+    OneTimeSteps lastSteps;
     switch (response.end) {
     case CallEnd::Responded:
         steps = record(ClaimState::Done, response);
-        last = {Respond {.response = response}};
+        lastSteps = {Respond {.response = response}};
         break;
     case CallEnd::NotSent:
         steps = record(ClaimState::NotRun, {});
-        last = refuse(ErrorKind::TargetUnavailable, "no connection to the target; the call was not sent");
+        lastSteps = reject(ErrorKind::TargetUnavailable, "no connection to the target; the call was not sent");
         break;
     case CallEnd::Unknown:
         steps = record(ClaimState::Unknown, {});
-        last = refuse(ErrorKind::OutcomeUnknown, "the call was sent and its answer was lost");
+        lastSteps = reject(ErrorKind::OutcomeUnknown, "the call was sent and its response was lost");
         break;
     }
-    steps.insert(steps.end(), last.begin(), last.end());
+    steps.insert(steps.end(), lastSteps.begin(), lastSteps.end());
     return steps;
 }
 
@@ -186,7 +187,7 @@
     return {RecordOutcome {.value = outcomeText(state, response), .revision = m_revision}};
 }
 
-OneTimeSteps OneTimeCall::refuse(ErrorKind kind, const std::string &detail)
+OneTimeSteps OneTimeCall::reject(ErrorKind kind, const std::string &detail)
 {
     return {Reject {{.kind = kind, .detail = detail, .retryAfter = errorKindInfo(kind).retryAfter}}};
 }
--- a/Libraries/LibOneTime/OneTimeCall.h
+++ b/Libraries/LibOneTime/OneTimeCall.h
@@ -9,7 +9,7 @@
 namespace Jujube
 {
 
-// A row of the table service as a claim sees it.
+// The row of the table service that holds a claim.
 struct ClaimRow {
     std::string value;
     uint64_t revision = 0;
@@ -18,11 +18,11 @@
 // How a conditional write of the claim's row ended.
 enum class ClaimWriteEnd {
     Done,
-    // Another value is there; the row comes with the answer.
+    // The row has another revision than expected; the current row is passed to onWritten().
     Conflict,
     // The write provably had no effect.
     NotDone,
-    // The answer was lost; the write may have taken effect, now or later.
+    // The response was lost; the write may have taken effect, or may still do so later.
     Unknown,
 };
 
@@ -31,7 +31,7 @@
     Responded,
     // No byte of the call reached the target.
     NotSent,
-    // The call was sent and its answer is missing or incomplete.
+    // The call was sent and its response is missing or incomplete.
     Unknown,
 };
 
@@ -45,44 +45,45 @@
 namespace OneTimeAction
 {
 
-// Write the row if its revision is the given one; 0 means that it must be absent. Responded with onWritten().
+// Write the row if its revision is the given one; 0 means that it must be absent. The driver then calls onWritten().
 struct WriteClaim {
     std::string value;
     uint64_t revision;
 };
 
-// Read the row. Responded with onRead().
+// Read the row. The driver then calls onRead() or onReadFailed().
 struct ReadClaim {
 };
 
-// Send the call to the target, once, over a new connection. Responded with onCalled().
+// Send the call to the target, once, over a new connection. The driver then calls onCalled().
 struct SendCall {
 };
 
-// Record the outcome; retried in the background until it is done or another record is there.
+// Record the outcome. Retried in the background until it succeeds or the row holds another record.
 struct RecordOutcome {
     std::string value;
     uint64_t revision;
 };
 
-// Find out in the background whether the own claim took effect after all, and if so record that the call was not run, so that the key can be used again.
+// Determine in the background whether this request's claim took effect after all. If so, record that the call was not run, so that the key can be used again.
 struct ReleaseClaim {
     std::string nonce;
     std::string notRunValue;
 };
 
-// Call onTimer() after this pause.
+// Call onTimer() after this delay.
 struct Delay {
     std::chrono::milliseconds time;
 };
 
-// Respond the caller and end.
+// Send the response to the caller and end.
 struct Respond {
     CallResponse response;
-    // Whether the answer was recorded by an earlier request with the same key.
+    // Whether the response was recorded by an earlier request with the same key.
     bool isReplay = false;
 };
 
+// Reject the caller's request with a problem and end.
 struct Reject {
     Problem problem;
 };
@@ -99,8 +100,9 @@
                                  OneTimeAction::Reject>;
 using OneTimeSteps = std::vector<OneTimeStep>;
 
-// Runs a call that must not run twice (design, section 9). The call is sent only by the request whose claim is in the table, and by it only once, so that a
-// frozen holder that wakes late is harmless: nobody else ever runs an open claim. A pure state machine; the driver carries out the steps in order.
+// Runs a call at most once (docs/design.md, section 9). Only the request whose claim is in the table sends the call, and it does so only once. No other
+// request ever runs an open claim, so a holder that was frozen and continues late does no harm. This is a pure state machine; the driver performs the steps in
+// order.
 class OneTimeCall
 {
 public:
@@ -110,11 +112,11 @@
         std::string bodyDigest;
         std::string gateway;
         int64_t wallMs = 0;
-        // The owner sends only within this time after it began; others wait for an open claim for this time.
+        // The owner of the claim sends the call only within this time after its start. Other requests wait this long for an open claim.
         std::chrono::milliseconds claimDeadline {15000};
-        std::chrono::milliseconds readPause {200};
-        // Writes and reads to find out what became of a claim whose answer was lost.
-        int resolveLimit = 3;
+        std::chrono::milliseconds readInterval {200};
+        // Maximum number of attempts to determine the state of a claim whose response was lost, or to claim a call that was not run.
+        int maxResolveAttempts = 3;
     };
 
     OneTimeCall(Options options, MonotonicTime now);
@@ -131,22 +133,22 @@
 private:
     OneTimeSteps onRow(const ClaimRow &row, MonotonicTime now);
     OneTimeSteps onClaimOfOther(const ClaimRecord &record, const ClaimRow &row, MonotonicTime now);
-    OneTimeSteps onOwned(uint64_t revision, MonotonicTime now);
-    OneTimeSteps resolveOrRefuse();
+    OneTimeSteps onClaimOwned(uint64_t revision, MonotonicTime now);
+    OneTimeSteps resolveOrReject();
     OneTimeSteps writeClaim(uint64_t revision);
     std::string outcomeText(ClaimState state, const CallResponse &response) const;
     OneTimeSteps record(ClaimState state, const CallResponse &response) const;
-    static OneTimeSteps refuse(ErrorKind kind, const std::string &detail);
+    static OneTimeSteps reject(ErrorKind kind, const std::string &detail);
 
     const Options m_options;
-    const MonotonicTime m_begin;
+    const MonotonicTime m_startedAt;
     // Revision that the last claim write was conditional on, and the row's revision once the claim is owned.
     uint64_t m_expectedRevision = 0;
     uint64_t m_revision = 0;
-    int m_resolves = 0;
-    // Whether an own write may have taken effect without an answer.
-    bool m_writeUnresolved = false;
-    bool m_called = false;
+    int m_resolveAttempts = 0;
+    // Whether a write of this request may have taken effect although its response was lost.
+    bool m_isWriteUnresolved = false;
+    bool m_isCallSent = false;
 };
 
 } // namespace Jujube
--- a/Tests/LibOneTime/TestOneTimeCall.cpp
+++ b/Tests/LibOneTime/TestOneTimeCall.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-// One row of the table service, in memory.
+// A table service with a single row, in memory.
 struct Table {
     std::optional<ClaimRow> row;
     uint64_t nextRevision = 1;
@@ -30,7 +30,7 @@
     }
 };
 
-// What happens to one request of a caller: the faults are drawn at random.
+// Drives one caller's request and injects random faults.
 class Request
 {
 public:
@@ -38,7 +38,7 @@
         : m_table(table)
         , m_runs(runs)
         , m_random(random)
-        , m_call({.nonce = std::move(nonce), .bodyDigest = "digest", .gateway = "g", .readPause = 200ms}, now)
+        , m_call({.nonce = std::move(nonce), .bodyDigest = "digest", .gateway = "g", .readInterval = 200ms}, now)
     {
         push(m_call.start());
     }
@@ -48,7 +48,7 @@
         return m_steps.empty();
     }
 
-    // The refusal, if the request was refused.
+    // The problem, if the request was rejected.
     const std::optional<Problem> &problem() const
     {
         return m_problem;
@@ -59,7 +59,7 @@
         return m_ran;
     }
 
-    // Carries out the next step. Requests are interleaved between steps, which stands for a frozen process.
+    // Performs the next step. The steps of several requests are interleaved, which simulates frozen processes.
     void step(MonotonicTime now)
     {
         const auto step = m_steps.front();
@@ -78,8 +78,8 @@
             releaseClaim(*release);
         } else if (std::get_if<Delay>(&step)) {
             push(m_call.onTimer());
-        } else if (const auto *refuse = std::get_if<Reject>(&step)) {
-            m_problem = refuse->problem;
+        } else if (const auto *reject = std::get_if<Reject>(&step)) {
+            m_problem = reject->problem;
         }
     }
 
@@ -139,11 +139,11 @@
 
 } // namespace
 
-// Guards against a payment that runs twice, and against a refusal that says "not run" for a call that ran: lost answers of the table service and of the
-// target, the same key at several gateways at once, and holders frozen between any two steps while others go on.
+// Guards against a payment that runs twice, and against a rejection that reports "not run" for a call that ran. The faults are lost responses of the table
+// service and of the target, the same key at several gateways at once, and holders that are frozen between any two steps while others continue.
 TEST(OneTimeCall, RunsAtMostOnceUnderRandomFailures)
 {
-    int answeredSeeds = 0;
+    int seedsWithRun = 0;
     for (unsigned seed = 0; seed < 20'000; ++seed) {
         std::mt19937 random(seed);
         Table table;
@@ -169,12 +169,12 @@
                 ASSERT_NE(errorKindInfo(request->problem()->kind).ran, RanState::No) << "seed " << seed;
             }
         }
-        answeredSeeds += runs;
+        seedsWithRun += runs;
     }
-    EXPECT_GT(answeredSeeds, 10'000);
+    EXPECT_GT(seedsWithRun, 10'000);
 }
 
-// Guards against an idempotency key that answers a different request.
+// Guards against a recorded response being returned for a different request with the same key.
 TEST(OneTimeCall, RefusesTheSameKeyWithAnotherBody)
 {
     const MonotonicTime now;
@@ -186,8 +186,8 @@
     EXPECT_EQ(std::get<Reject>(steps[0]).problem.kind, ErrorKind::IdempotencyKeyReused);
 }
 
-// Guards against a holder that was frozen past its deadline sending a call whose outcome others were told is unknown.
-TEST(OneTimeCall, AHolderThatWakesLateDoesNotSend)
+// Guards against a holder that was frozen past its deadline and sends a call whose outcome was already reported as unknown to other requests.
+TEST(OneTimeCall, HolderPastItsDeadlineDoesNotSend)
 {
     const MonotonicTime now;
     OneTimeCall call({.nonce = "own", .bodyDigest = "digest", .gateway = "g"}, now);
@@ -199,7 +199,7 @@
 }
 
 // Guards against a call being sent without a record when the table service is down.
-TEST(OneTimeCall, RefusesWhenTheTableServiceIsDown)
+TEST(OneTimeCall, RejectsWhenTheTableServiceIsDown)
 {
     const MonotonicTime now;
     OneTimeCall call({.nonce = "own", .bodyDigest = "digest", .gateway = "g"}, now);
@@ -209,7 +209,7 @@
     EXPECT_EQ(std::get<Reject>(steps[0]).problem.kind, ErrorKind::PlatformUnavailable);
 }
 
-// Guards against a recorded answer being lost: the same key gets the first answer again.
+// Guards against a recorded response that is not returned again for the same key.
 TEST(OneTimeCall, ReplaysTheRecordedAnswer)
 {
     const MonotonicTime now;
