--- a/Tests/LibGeneration/TestGenerationSession.cpp
+++ b/Tests/LibGeneration/TestGenerationSession.cpp
@@ -15,7 +15,7 @@
 
 const std::string Generation = "00112233445566778899aabbccddeeff";
 
-// The text that every engine produces for the generation at an index, unless it is a deviating one.
+// The token that all engines produce at an index of the generation, except in tests of an engine whose tokens differ.
 std::string tokenAt(int32_t index)
 {
     return " t" + std::to_string(index);
@@ -50,7 +50,7 @@
 // Delivers count tokens of attempt 1 from target "e1".
 GenerationSession startedSession(bool exact, int32_t count, MonotonicTime now)
 {
-    GenerationSession session({.generation = Generation, .continuesExactly = exact, .cursor = std::nullopt}, now);
+    GenerationSession session({.generation = Generation, .canContinueExactly = exact, .cursor = std::nullopt}, now);
     session.start(now);
     session.onPlaced("e1", now);
     for (int32_t i = 0; i < count; ++i) {
@@ -61,12 +61,12 @@
 
 } // namespace
 
-// Guards against tokens of a late old attempt reaching the caller beside its successor's.
+// Guards against late tokens of an earlier attempt being delivered together with those of the current attempt.
 TEST(GenerationSession, DropsLinesOfAnEarlierAttempt)
 {
     const MonotonicTime now;
     auto session = startedSession(true, 3, now);
-    ASSERT_NE(find<Place>(session.onUpstreamEnd(UpstreamEnd::Unreachable, now)), nullptr);
+    ASSERT_NE(find<Place>(session.onEngineStreamEnd(EngineStreamEnd::Unreachable, now)), nullptr);
     const auto actions = session.onPlaced("e2", now);
     const auto *generate = find<Generate>(actions);
     ASSERT_NE(generate, nullptr);
@@ -78,12 +78,12 @@
     EXPECT_EQ(find<Deliver>(delivered)->index, 3);
 }
 
-// Guards against a dead connection being taken for a dead target.
+// Guards against a failed connection being treated as a failed target.
 TEST(GenerationSession, ResumesTheSameTargetAfterSilence)
 {
     const MonotonicTime now;
     auto session = startedSession(true, 3, now);
-    const auto actions = session.onUpstreamEnd(UpstreamEnd::Silent, now);
+    const auto actions = session.onEngineStreamEnd(EngineStreamEnd::Silent, now);
     const auto *resume = find<Resume>(actions);
     ASSERT_NE(resume, nullptr);
     EXPECT_EQ(resume->target, "e1");
@@ -94,7 +94,7 @@
     EXPECT_NE(find<Deliver>(session.onLine(token(1, 3), now)), nullptr);
 }
 
-// Guards against splicing two generations when an engine repeats a generation with other tokens.
+// Guards against splicing two generations when an engine repeats a generation with different tokens.
 TEST(GenerationSession, RefusesARepeatedGenerationThatDiffers)
 {
     const MonotonicTime now;
@@ -103,9 +103,9 @@
     checksum.add(tokenAt(1));
     const Cursor cursor {.generation = Generation, .attempt = 1, .target = "e1", .nextOffset = 2, .checksum = checksum.value()};
     for (const bool differs : {false, true}) {
-        GenerationSession session({.generation = Generation, .continuesExactly = true, .cursor = cursor}, now);
+        GenerationSession session({.generation = Generation, .canContinueExactly = true, .cursor = cursor}, now);
         session.start(now);
-        session.onUpstreamEnd(UpstreamEnd::Unreachable, now);
+        session.onEngineStreamEnd(EngineStreamEnd::Unreachable, now);
         const auto placed = session.onPlaced("e2", now);
         ASSERT_NE(find<Generate>(placed), nullptr);
         EXPECT_TRUE(find<Generate>(placed)->tokens.empty());
@@ -123,11 +123,11 @@
 TEST(GenerationSession, HoldsBackWhatCannotBeContinued)
 {
     const MonotonicTime now;
-    GenerationSession session({.generation = Generation, .continuesExactly = false, .cursor = std::nullopt}, now);
+    GenerationSession session({.generation = Generation, .canContinueExactly = false, .cursor = std::nullopt}, now);
     session.start(now);
     session.onPlaced("e1", now);
     EXPECT_TRUE(session.onLine(token(1, 0, " first"), now).empty());
-    EXPECT_NE(find<Place>(session.onUpstreamEnd(UpstreamEnd::Unreachable, now)), nullptr);
+    EXPECT_NE(find<Place>(session.onEngineStreamEnd(EngineStreamEnd::Unreachable, now)), nullptr);
     session.onPlaced("e2", now);
     EXPECT_TRUE(session.onLine(token(2, 0, " second"), now).empty());
     const auto actions = session.onLine(done(2, 1), now);
@@ -136,7 +136,7 @@
     EXPECT_NE(find<Complete>(actions), nullptr);
 }
 
-// Guards against a truncated generation being reported as whole.
+// Guards against a truncated generation being reported as complete.
 TEST(GenerationSession, ChecksTheCountOfTheLastLine)
 {
     const MonotonicTime now;
@@ -147,24 +147,24 @@
     EXPECT_EQ(find<Fail>(actions)->problem.kind, ErrorKind::GenerationLost);
 }
 
-// Guards against a started draft being dropped because no target has room at the moment its engine dies.
+// Guards against a started generation failing because no target has capacity at the moment when its engine is lost.
 TEST(GenerationSession, AStartedGenerationWaitsForATarget)
 {
     const MonotonicTime now;
     auto session = startedSession(true, 3, now);
-    session.onUpstreamEnd(UpstreamEnd::Unreachable, now);
+    session.onEngineStreamEnd(EngineStreamEnd::Unreachable, now);
     const Problem overloaded {.kind = ErrorKind::Overloaded, .detail = "full"};
-    EXPECT_NE(find<Wait>(session.onRefused(overloaded, now)), nullptr);
-    EXPECT_NE(find<Place>(session.onTime(now + 1s)), nullptr);
-    EXPECT_NE(find<Fail>(session.onRefused(overloaded, now + 11min)), nullptr);
+    EXPECT_NE(find<Wait>(session.onPlacementRejected(overloaded, now)), nullptr);
+    EXPECT_NE(find<Place>(session.onTimer(now + 1s)), nullptr);
+    EXPECT_NE(find<Fail>(session.onPlacementRejected(overloaded, now + 11min)), nullptr);
 
-    GenerationSession fresh({.generation = Generation, .continuesExactly = true, .cursor = std::nullopt}, now);
+    GenerationSession fresh({.generation = Generation, .canContinueExactly = true, .cursor = std::nullopt}, now);
     fresh.start(now);
-    EXPECT_NE(find<Fail>(fresh.onRefused(overloaded, now)), nullptr);
+    EXPECT_NE(find<Fail>(fresh.onPlacementRejected(overloaded, now)), nullptr);
 }
 
-// Guards against tokens that are lost, doubled, out of order or from two generations under any order of failures: random ends of streams, repeated lines,
-// stale attempts and returns of the caller at other gateways with its latest or an earlier cursor.
+// Guards against tokens that are lost, duplicated, out of order or mixed from two generations under any order of failures: streams that end at random,
+// repeated lines, stale attempts, and callers that reconnect to other gateways with their latest or an earlier cursor.
 TEST(GenerationSession, EveryTokenOnceInOrderUnderRandomFailures)
 {
     constexpr int32_t Count = 40;
@@ -176,7 +176,7 @@
         bool complete = false;
         while (!complete) {
             GenerationSession session(
-                {.generation = Generation, .continuesExactly = true, .cursor = cursor.target.empty() ? std::nullopt : std::optional(cursor)}, now);
+                {.generation = Generation, .canContinueExactly = true, .cursor = cursor.target.empty() ? std::nullopt : std::optional(cursor)}, now);
             auto actions = session.start(now);
             int32_t attempt = 0;
             int32_t position = 0;
@@ -216,7 +216,7 @@
                 now += 10ms;
                 switch (random() % 12) {
                 case 0:
-                    actions = session.onUpstreamEnd(static_cast<UpstreamEnd>(random() % 6), now);
+                    actions = session.onEngineStreamEnd(static_cast<EngineStreamEnd>(random() % 6), now);
                     break;
                 case 1:
                     actions = session.onLine(token(attempt - 1, position, " stale"), now);
@@ -225,7 +225,7 @@
                     actions = session.onLine(token(attempt, std::max(0, position - 1)), now);
                     break;
                 case 3:
-                    // Nobody has any token yet, so losses count against the request and it could be refused.
+                    // Only after the first token: before it, lost targets count against the request and could make it fail.
                     callerGone = !received.empty() && random() % 3 == 0;
                     actions.clear();
                     break;
@@ -234,7 +234,7 @@
                     ++position;
                 }
                 if (received.empty() && session.attempt() > 2) {
-                    // Starts over, as a caller does that was refused before its first token.
+                    // Starts over, as a caller does whose request failed before its first token.
                     callerGone = true;
                     cursor.target.clear();
                 }
