--- a/Libraries/LibEnvironment/ConnectivityJudge.cpp
+++ b/Libraries/LibEnvironment/ConnectivityTracker.cpp
@@ -1,4 +1,4 @@
-#include <LibEnvironment/ConnectivityJudge.h>
+#include <LibEnvironment/ConnectivityTracker.h>
 
 #include <algorithm>
 #include <functional>
@@ -39,106 +39,106 @@
     return {.newWork = false, .oneTimeCalls = false};
 }
 
-ConnectivityJudge::ConnectivityJudge(Options options)
+ConnectivityTracker::ConnectivityTracker(Options options)
     : m_options(std::move(options))
 {
 }
 
-void ConnectivityJudge::setMembers(std::set<std::string> members)
+void ConnectivityTracker::setMembers(std::set<std::string> members)
 {
     // New members have not been heard yet, which says nothing about the contact before they were added.
-    m_majorityBefore = lastMajority();
+    m_previousMajorityContact = lastMajorityContact();
     m_members = std::move(members);
     m_members.erase(m_options.self);
     std::erase_if(m_peers, [this](const auto &entry) { return !m_members.contains(entry.first); });
 }
 
-void ConnectivityJudge::platformAnswered(MonotonicTime requestSentAt)
+void ConnectivityTracker::platformResponded(MonotonicTime requestSentAt)
 {
-    m_platformAt = std::max(m_platformAt, When(requestSentAt));
+    m_platformAt = std::max(m_platformAt, OptionalTime(requestSentAt));
 }
 
-void ConnectivityJudge::peerHeard(const PeerReport &report, MonotonicTime now)
+void ConnectivityTracker::addPeerReport(const PeerReport &report, MonotonicTime now)
 {
     if (!m_members.contains(report.peer)) {
         return;
     }
     constexpr std::chrono::milliseconds NoTime {0};
-    const auto heardAt = now - std::max(report.age, NoTime);
-    auto &peer = m_peers.try_emplace(report.peer, Peer {.heardAt = heardAt}).first->second;
+    const auto contactAt = now - std::max(report.age, NoTime);
+    auto &peer = m_peers.try_emplace(report.peer, Peer {.contactAt = contactAt}).first->second;
     // Reports overtake each other; an older one never takes back what a newer one said.
-    peer.heardAt = std::max(peer.heardAt, heardAt);
+    peer.contactAt = std::max(peer.contactAt, contactAt);
     if (report.platformAge) {
-        peer.platformAt = std::max(peer.platformAt, When(heardAt - std::max(*report.platformAge, NoTime)));
+        peer.platformAt = std::max(peer.platformAt, OptionalTime(contactAt - std::max(*report.platformAge, NoTime)));
     }
 }
 
-Connectivity ConnectivityJudge::judge(MonotonicTime now) const
+Connectivity ConnectivityTracker::connectivity(MonotonicTime now) const
 {
-    const auto contact = m_options.contactLimit;
+    const auto contact = m_options.contactTimeout;
     if (isWithin(m_platformAt, contact, now)) {
         return Connectivity::Connected;
     }
     // Without the platform, contact with at least one peer is required.
-    if (!isWithin(lastPeer(), contact, now)) {
+    if (!isWithin(lastPeerContact(), contact, now)) {
         return Connectivity::Isolated;
     }
-    const auto platform = lastPlatformThroughPeers();
+    const auto platform = lastPlatformContactThroughPeers();
     if (isWithin(platform, contact, now)) {
         return Connectivity::ThroughPeers;
     }
-    const auto majority = lastMajority();
+    const auto majority = lastMajorityContact();
     if (isWithin(majority, contact, now)) {
         return Connectivity::PlatformDown;
     }
-    const auto lastAssurance = std::max({m_platformAt, platform, majority});
-    return isWithin(lastAssurance, m_options.minorityLimit, now) ? Connectivity::Minority : Connectivity::Isolated;
+    const auto lastSafeContact = std::max({m_platformAt, platform, majority});
+    return isWithin(lastSafeContact, m_options.minorityTimeout, now) ? Connectivity::Minority : Connectivity::Isolated;
 }
 
-size_t ConnectivityJudge::membersInContact(MonotonicTime now) const
+size_t ConnectivityTracker::membersInContact(MonotonicTime now) const
 {
-    const auto inContact = [&](const auto &entry) { return isWithin(entry.second.heardAt, m_options.contactLimit, now); };
+    const auto inContact = [&](const auto &entry) { return isWithin(entry.second.contactAt, m_options.contactTimeout, now); };
     return 1 + static_cast<size_t>(std::count_if(m_peers.begin(), m_peers.end(), inContact));
 }
 
-bool ConnectivityJudge::isWithin(const When &when, std::chrono::milliseconds limit, MonotonicTime now) const
+bool ConnectivityTracker::isWithin(const OptionalTime &when, std::chrono::milliseconds limit, MonotonicTime now) const
 {
     return when && now - *when < limit;
 }
 
-ConnectivityJudge::When ConnectivityJudge::lastPlatformThroughPeers() const
+ConnectivityTracker::OptionalTime ConnectivityTracker::lastPlatformContactThroughPeers() const
 {
-    When last;
+    OptionalTime last;
     for (const auto &[name, peer] : m_peers) {
         last = std::max(last, peer.platformAt);
     }
     return last;
 }
 
-ConnectivityJudge::When ConnectivityJudge::lastPeer() const
+ConnectivityTracker::OptionalTime ConnectivityTracker::lastPeerContact() const
 {
-    When last;
+    OptionalTime last;
     for (const auto &[name, peer] : m_peers) {
-        last = std::max(last, When(peer.heardAt));
+        last = std::max(last, OptionalTime(peer.contactAt));
     }
     return last;
 }
 
 // The latest moment since which a majority, including this gateway, has been heard: of the peers that a majority needs, the one heard longest ago.
-ConnectivityJudge::When ConnectivityJudge::lastMajority() const
+ConnectivityTracker::OptionalTime ConnectivityTracker::lastMajorityContact() const
 {
     const auto needed = memberCount() / 2;
     if (needed == 0 || m_peers.size() < needed) {
-        return m_majorityBefore;
+        return m_previousMajorityContact;
     }
     std::vector<MonotonicTime> times;
     times.reserve(m_peers.size());
     for (const auto &[name, peer] : m_peers) {
-        times.push_back(peer.heardAt);
+        times.push_back(peer.contactAt);
     }
     const auto wanted = times.begin() + static_cast<std::ptrdiff_t>(needed - 1);
     std::nth_element(times.begin(), wanted, times.end(), std::greater<>());
-    return std::max(m_majorityBefore, When(*wanted));
+    return std::max(m_previousMajorityContact, OptionalTime(*wanted));
 }
 
 } // namespace Jujube
--- a/Libraries/LibEnvironment/ConnectivityJudge.h
+++ b/Libraries/LibEnvironment/ConnectivityTracker.h
@@ -58,16 +58,16 @@
 
 // Tells a platform outage from the isolation of one gateway. A pure state machine: it is fed with observations, and the present time is an argument. Its
 // answer depends only on the times of the latest observations, so a process that was frozen is Isolated when it wakes, until it hears something new.
-class ConnectivityJudge
+class ConnectivityTracker
 {
 public:
     struct Options {
         // This gateway's own name; it counts as in contact with itself.
         std::string self;
         // The platform or a peer is in contact if it was heard within this time.
-        std::chrono::milliseconds contactLimit {3000};
+        std::chrono::milliseconds contactTimeout {3000};
         // Time without the platform and without a majority after which a gateway behaves as an isolated one.
-        std::chrono::milliseconds minorityLimit {10000};
+        std::chrono::milliseconds minorityTimeout {10000};
     };
 
     // A peer's heartbeat, or the report of a peer about a third gateway. At full size every gateway hears only a few peers directly, so reports of others
@@ -80,7 +80,7 @@
         std::optional<std::chrono::milliseconds> platformAge;
     };
 
-    explicit ConnectivityJudge(Options options);
+    explicit ConnectivityTracker(Options options);
 
     // All known gateways from the VM list, settings and heartbeats. Reports of others are ignored, so that a stranger cannot make up a majority. A member
     // that is gone counts as out of contact until it is left out here.
@@ -88,17 +88,17 @@
 
     // The platform has answered a request of this gateway that was sent at the given time. The time of sending is what counts: a process that was frozen
     // between request and answer has learnt nothing about the time in between.
-    void platformAnswered(MonotonicTime requestSentAt);
+    void platformResponded(MonotonicTime requestSentAt);
 
     // now is the time at which the datagram arrived. After a pause of the process, datagrams that waited in the socket have to be dropped unread, or they
     // look like fresh contact.
-    void peerHeard(const PeerReport &report, MonotonicTime now);
+    void addPeerReport(const PeerReport &report, MonotonicTime now);
 
-    Connectivity judge(MonotonicTime now) const;
+    Connectivity connectivity(MonotonicTime now) const;
 
     ConnectivityPermissions permissions(MonotonicTime now) const
     {
-        return permissionsOf(judge(now));
+        return permissionsOf(connectivity(now));
     }
 
     // Known gateways in contact, including this one.
@@ -112,24 +112,24 @@
 
 private:
     // An empty time stands for "never".
-    using When = std::optional<MonotonicTime>;
+    using OptionalTime = std::optional<MonotonicTime>;
 
     struct Peer {
-        MonotonicTime heardAt;
-        When platformAt;
+        MonotonicTime contactAt;
+        OptionalTime platformAt;
     };
 
-    bool isWithin(const When &when, std::chrono::milliseconds limit, MonotonicTime now) const;
-    When lastPlatformThroughPeers() const;
-    When lastPeer() const;
-    When lastMajority() const;
+    bool isWithin(const OptionalTime &when, std::chrono::milliseconds limit, MonotonicTime now) const;
+    OptionalTime lastPlatformContactThroughPeers() const;
+    OptionalTime lastPeerContact() const;
+    OptionalTime lastMajorityContact() const;
 
     const Options m_options;
     std::set<std::string> m_members;
     std::map<std::string, Peer> m_peers;
-    When m_platformAt;
+    OptionalTime m_platformAt;
     // The latest majority among the members before the latest change of members.
-    When m_majorityBefore;
+    OptionalTime m_previousMajorityContact;
 };
 
 } // namespace Jujube
--- a/Libraries/LibEnvironment/DocumentDiff.cpp
+++ b/Libraries/LibEnvironment/DocumentDiff.cpp
@@ -58,7 +58,7 @@
         {"method", std::string(nameOf(call.method))},
         {"path", call.path},
         {"repeatable", textOf(call.repeatable)},
-        {"fresh_s", secondsOf(call.fresh)},
+        {"fresh_s", secondsOf(call.maxCacheAge)},
         {"timeout_s", secondsOf(call.timeout)},
     };
 }
--- a/Libraries/LibEnvironment/DocumentMistakes.h
+++ b/Libraries/LibEnvironment/DocumentErrors.h
@@ -7,26 +7,26 @@
 {
 
 // Collects all mistakes of a document, so that the author sees them at once.
-class DocumentMistakes
+class DocumentErrors
 {
 public:
     void add(DocumentPosition position, std::string text);
 
     bool empty() const
     {
-        return m_mistakes.empty();
+        return m_errors.empty();
     }
 
     // Ok if there are none. Otherwise ErrorKind::InvalidDocument with one line "line:column: text" per mistake, in the order of the text.
     absl::Status toStatus() const;
 
 private:
-    struct Mistake {
+    struct DocumentError {
         DocumentPosition position;
         std::string text;
     };
 
-    std::vector<Mistake> m_mistakes;
+    std::vector<DocumentError> m_errors;
 };
 
 } // namespace Jujube
--- a/Libraries/LibEnvironment/DocumentParser.cpp
+++ b/Libraries/LibEnvironment/DocumentParser.cpp
@@ -28,11 +28,11 @@
 constexpr size_t MaxPathBytes = 256;
 constexpr uint64_t MaxRate = 100'000'000;
 constexpr uint64_t MaxCount = 1'000'000;
-constexpr uint64_t MaxTokensPerAnswer = 1'000'000;
+constexpr uint64_t MaxTokensPerResponse = 1'000'000;
 constexpr uint64_t MaxMemoryTokens = 1'000'000'000;
 constexpr uint64_t MaxPriority = 9;
 constexpr uint64_t MaxPercent = 100;
-constexpr auto MaxFresh = 1h;
+constexpr auto MaxCacheAge = 1h;
 constexpr auto MinTimeout = 10ms;
 constexpr auto MaxTimeout = 120s;
 // Requests that find the claim of a call wait for it at most this long (docs/design.md, section 9), so a longer call would be answered "unknown" while it
@@ -78,7 +78,7 @@
     const auto entries = [this](Entry entry) {
         return [this, entry](const std::string &name, const DocumentNode &node, const std::string &path) { (this->*entry)(name, node, path); };
     };
-    MapReader reader(root, "", m_mistakes);
+    MapReader reader(root, "", m_errors);
     if (const auto *name = reader.require("environment"); name && reader.readText("environment", m_document.name, MaxTextBytes)) {
         if (!isDocumentName(m_document.name)) {
             reader.report(*name, "environment", "must be a name from a-z, 0-9, '.', '_' and '-'");
@@ -99,7 +99,7 @@
 
 void DocumentParser::readDataCentre(const std::string &name, const DocumentNode &node, const std::string &path)
 {
-    MapReader reader(node, path, m_mistakes);
+    MapReader reader(node, path, m_errors);
     DataCentre dataCentre;
     reader.readEnum("state", dataCentre.state, {DataCentreState::In, DataCentreState::Out});
     reader.require("region");
@@ -110,7 +110,7 @@
 
 void DocumentParser::readWorkspace(const std::string &name, const DocumentNode &node, const std::string &path)
 {
-    MapReader reader(node, path, m_mistakes);
+    MapReader reader(node, path, m_errors);
     Workspace workspace;
     reader.require("tier");
     reader.readEnum("tier", workspace.tier, {WorkspaceTier::Paying, WorkspaceTier::Trial});
@@ -142,7 +142,7 @@
     if (!node) {
         return;
     }
-    MapReader fields(*node, path + ".limits", m_mistakes);
+    MapReader fields(*node, path + ".limits", m_errors);
     fields.readNumber("requests_per_s", limits.requestsPerSecond, 0, MaxRate);
     fields.readNumber("tokens_per_s", limits.tokensPerSecond, 0, MaxRate);
     fields.readNumber("open_streams", limits.openStreams, 0, MaxCount);
@@ -151,18 +151,18 @@
 
 void DocumentParser::readModel(const std::string &name, const DocumentNode &node, const std::string &path)
 {
-    MapReader reader(node, path, m_mistakes);
+    MapReader reader(node, path, m_errors);
     Model model;
     reader.readEnum("continuation", model.continuation, {Continuation::None, Continuation::Exact});
     reader.readText("version", model.version, MaxTextBytes);
-    reader.readNumber("max_tokens", model.maxTokens, 1, MaxTokensPerAnswer);
+    reader.readNumber("max_tokens", model.maxTokens, 1, MaxTokensPerResponse);
     reader.finish();
     m_document.models.emplace(name, std::move(model));
 }
 
 void DocumentParser::readService(const std::string &name, const DocumentNode &node, const std::string &path)
 {
-    MapReader reader(node, path, m_mistakes);
+    MapReader reader(node, path, m_errors);
     Service service;
     reader.require("calls");
     reader.readEntries("calls", MaxCalls, [this, &service](const std::string &callName, const DocumentNode &callNode, const std::string &callPath) {
@@ -174,19 +174,19 @@
 
 ServiceCall DocumentParser::readCall(const std::string &name, const DocumentNode &node, const std::string &path)
 {
-    MapReader reader(node, path, m_mistakes);
+    MapReader reader(node, path, m_errors);
     ServiceCall call {.path = "/" + name};
     reader.readEnum("method", call.method, {CallMethod::Get, CallMethod::Post});
     if (reader.readText("path", call.path, MaxPathBytes) && !isPath(call.path)) {
         reader.report(*reader.find("path"), "path", "must start with '/' and have no space, '?', '#', '%' or '\\'");
     }
     reader.readBool("repeatable", call.repeatable);
-    reader.readSeconds("fresh_s", call.fresh, 0s, MaxFresh);
+    reader.readSeconds("fresh_s", call.maxCacheAge, 0s, MaxCacheAge);
     reader.readSeconds("timeout_s", call.timeout, MinTimeout, MaxTimeout);
     if (call.method == CallMethod::Get && !call.repeatable) {
         reader.report("a GET call must be repeatable");
     }
-    if (call.method != CallMethod::Get && call.fresh > 0s) {
+    if (call.method != CallMethod::Get && call.maxCacheAge > 0s) {
         reader.report(*reader.find("fresh_s"), "fresh_s", "only answers to GET calls are cached");
     }
     if (!call.repeatable && call.timeout > MaxOneTimeTimeout) {
@@ -203,7 +203,7 @@
     if (!node) {
         return;
     }
-    MapReader reader(*node, "priorities", m_mistakes);
+    MapReader reader(*node, "priorities", m_errors);
     reader.readNumber(nameOf(GenerationKind::Draft), m_document.priorities.draft, 0, MaxPriority);
     reader.readNumber(nameOf(GenerationKind::Suggestion), m_document.priorities.suggestion, 0, MaxPriority);
     reader.finish();
@@ -216,7 +216,7 @@
         return;
     }
     auto &limits = m_document.limits;
-    MapReader reader(*node, "limits", m_mistakes);
+    MapReader reader(*node, "limits", m_errors);
     reader.readNumber("open_streams", limits.openStreams, 1, MaxCount);
     reader.readNumber("queued_requests", limits.queuedRequests, 0, MaxCount);
     reader.readSeconds("queue_wait_s", limits.queueWait, 0s, MaxQueueWait);
@@ -226,14 +226,14 @@
 
 void DocumentParser::readTarget(const std::string &name, const DocumentNode &node, const std::string &path)
 {
-    MapReader reader(node, path, m_mistakes);
+    MapReader reader(node, path, m_errors);
     TargetEntry target;
     readAddress(reader, name, target.address);
     const auto *dataCentre = reader.require("data_centre");
     if (dataCentre && reader.readText("data_centre", target.dataCentre, MaxTextBytes) && !m_document.dataCentres.contains(target.dataCentre)) {
         reader.report(*dataCentre, "data_centre", absl::StrCat("the data centre \"", target.dataCentre, "\" is not in data_centres"));
     }
-    readDuties(reader, target);
+    readModelsAndService(reader, target);
     reader.readNumber("cold_limit", target.coldLimit, 1, MaxCount);
     readEngineFields(reader, target);
     reader.finish();
@@ -256,7 +256,7 @@
     }
 }
 
-void DocumentParser::readDuties(MapReader &reader, TargetEntry &target)
+void DocumentParser::readModelsAndService(MapReader &reader, TargetEntry &target)
 {
     for (const auto *item : reader.readItems("models", MaxModels)) {
         if (!m_document.models.contains(item->text)) {
@@ -294,13 +294,13 @@
 
 absl::StatusOr<EnvironmentDocument> parseEnvironmentDocument(std::string_view yaml)
 {
-    DocumentMistakes mistakes;
-    const auto root = parseDocumentTree(yaml, mistakes);
+    DocumentErrors errors;
+    const auto root = parseDocumentTree(yaml, errors);
     if (!root.ok()) {
         return root.status();
     }
-    auto document = DocumentParser(mistakes).read(*root);
-    if (auto status = mistakes.toStatus(); !status.ok()) {
+    auto document = DocumentParser(errors).read(*root);
+    if (auto status = errors.toStatus(); !status.ok()) {
         return status;
     }
     return document;
--- a/Libraries/LibEnvironment/DocumentParser.h
+++ b/Libraries/LibEnvironment/DocumentParser.h
@@ -10,8 +10,8 @@
 class DocumentParser
 {
 public:
-    explicit DocumentParser(DocumentMistakes &mistakes)
-        : m_mistakes(mistakes)
+    explicit DocumentParser(DocumentErrors &errors)
+        : m_errors(errors)
     {
     }
 
@@ -29,10 +29,10 @@
     void readGatewayLimits(MapReader &root);
     void readTarget(const std::string &name, const DocumentNode &node, const std::string &path);
     void readAddress(MapReader &reader, const std::string &name, std::string &address);
-    void readDuties(MapReader &reader, TargetEntry &target);
+    void readModelsAndService(MapReader &reader, TargetEntry &target);
     void readEngineFields(MapReader &reader, TargetEntry &target);
 
-    DocumentMistakes &m_mistakes;
+    DocumentErrors &m_errors;
     EnvironmentDocument m_document;
     // Which workspace or target uses a key hash or an address first.
     std::map<std::string, std::string> m_keyHashOwners;
--- a/Libraries/LibEnvironment/DocumentLedger.cpp
+++ b/Libraries/LibEnvironment/DocumentTracker.cpp
@@ -1,4 +1,4 @@
-#include <LibEnvironment/DocumentLedger.h>
+#include <LibEnvironment/DocumentTracker.h>
 
 #include <LibCore/Digest.h>
 
@@ -36,12 +36,12 @@
     return "unknown";
 }
 
-DocumentLedger::DocumentLedger(Parse parse)
+DocumentTracker::DocumentTracker(ParseFunction parse)
     : m_parse(std::move(parse))
 {
 }
 
-OfferResult DocumentLedger::offer(const DocumentOffer &offer, MonotonicTime now)
+OfferResult DocumentTracker::offer(const DocumentOffer &offer, MonotonicTime now)
 {
     if (offer.version < m_version || offer.version == 0) {
         return OfferResult::Older;
@@ -54,14 +54,14 @@
     }
     auto document = m_parse(offer.bytes);
     if (!document.ok()) {
-        m_lastProblem = std::string(document.status().message());
+        m_lastParseError = std::string(document.status().message());
         return OfferResult::Invalid;
     }
     m_version = offer.version;
     m_digest = offer.digest;
     m_bytes = std::string(offer.bytes);
     m_document = std::make_shared<const EnvironmentDocument>(*std::move(document));
-    m_newestVersionSeen = std::max(m_newestVersionSeen, m_version);
+    m_newestKnownVersion = std::max(m_newestKnownVersion, m_version);
     m_acceptedAt = now;
     // A confirmation of the version before says nothing about this one.
     m_confirmedAt.reset();
@@ -73,38 +73,38 @@
     return OfferResult::Accepted;
 }
 
-void DocumentLedger::tableHeadSeen(uint64_t version, std::string_view digest, MonotonicTime readSentAt)
+void DocumentTracker::tableHeadReceived(uint64_t version, std::string_view digest, MonotonicTime readSentAt)
 {
-    m_newestVersionSeen = std::max(m_newestVersionSeen, version);
+    m_newestKnownVersion = std::max(m_newestKnownVersion, version);
     if (version == m_version && digest == m_digest) {
         confirm(readSentAt);
     }
 }
 
-void DocumentLedger::peerVersionSeen(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, MonotonicTime now)
+void DocumentTracker::peerVersionReceived(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, MonotonicTime now)
 {
-    m_newestVersionSeen = std::max(m_newestVersionSeen, version);
+    m_newestKnownVersion = std::max(m_newestKnownVersion, version);
     if (version == m_version && confirmedAge) {
         confirmThroughPeer(*confirmedAge, now);
     }
 }
 
-std::optional<std::chrono::milliseconds> DocumentLedger::age(MonotonicTime now) const
+std::optional<std::chrono::milliseconds> DocumentTracker::age(MonotonicTime now) const
 {
     return m_document ? std::optional(elapsed(m_acceptedAt, now)) : std::nullopt;
 }
 
-std::optional<std::chrono::milliseconds> DocumentLedger::confirmedAge(MonotonicTime now) const
+std::optional<std::chrono::milliseconds> DocumentTracker::confirmedAge(MonotonicTime now) const
 {
     return m_confirmedAt ? std::optional(elapsed(*m_confirmedAt, now)) : std::nullopt;
 }
 
-void DocumentLedger::confirmThroughPeer(std::chrono::milliseconds age, MonotonicTime now)
+void DocumentTracker::confirmThroughPeer(std::chrono::milliseconds age, MonotonicTime now)
 {
     confirm(now - std::max(age, std::chrono::milliseconds(0)) - PeerDelayAllowance);
 }
 
-void DocumentLedger::confirm(MonotonicTime at)
+void DocumentTracker::confirm(MonotonicTime at)
 {
     if (m_version > 0 && (!m_confirmedAt || at > *m_confirmedAt)) {
         m_confirmedAt = at;
--- a/Libraries/LibEnvironment/DocumentLedger.h
+++ b/Libraries/LibEnvironment/DocumentTracker.h
@@ -53,23 +53,23 @@
 // The age in a peer's heartbeat leaves out the time that the heartbeat took. Two nodes that confirm each other's version would renew the confirmation by
 // that time with every exchange, without the table service. Every age from a peer is therefore raised by PeerDelayAllowance. Datagrams that waited longer
 // than that, for example in the socket of a process that was paused, must not be passed on to the ledger.
-class DocumentLedger
+class DocumentTracker
 {
 public:
     static constexpr std::chrono::milliseconds PeerDelayAllowance {500};
 
     // A document is parsed before it is put in force, by this function. A node must not drop its present document for one that it cannot read.
-    using Parse = std::function<absl::StatusOr<EnvironmentDocument>(std::string_view yaml)>;
+    using ParseFunction = std::function<absl::StatusOr<EnvironmentDocument>(std::string_view yaml)>;
 
-    explicit DocumentLedger(Parse parse = parseEnvironmentDocument);
+    explicit DocumentTracker(ParseFunction parse = parseEnvironmentDocument);
 
     OfferResult offer(const DocumentOffer &offer, MonotonicTime now);
 
     // The table service has shown this head. Counts as a confirmation if it is the version in force.
-    void tableHeadSeen(uint64_t version, std::string_view digest, MonotonicTime readSentAt);
+    void tableHeadReceived(uint64_t version, std::string_view digest, MonotonicTime readSentAt);
 
     // A peer's heartbeat has carried its version and confirmation age. Counts as a confirmation if it is the version in force.
-    void peerVersionSeen(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, MonotonicTime now);
+    void peerVersionReceived(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, MonotonicTime now);
 
     // Zero if no document is in force.
     uint64_t version() const
@@ -96,15 +96,15 @@
 
     // The highest version that the table service or a peer has shown. If it is above version(), the node should read the table soon. It stays above
     // while the newer document cannot be read or fetched, so these reads need a pause between them.
-    uint64_t newestVersionSeen() const
+    uint64_t newestKnownVersion() const
     {
-        return m_newestVersionSeen;
+        return m_newestKnownVersion;
     }
 
     // Why the latest offer with the result Invalid could not be read.
-    const std::string &lastProblem() const
+    const std::string &lastParseError() const
     {
-        return m_lastProblem;
+        return m_lastParseError;
     }
 
     // Time since the document in force was accepted on this node. Empty if there is none.
@@ -117,13 +117,13 @@
     void confirm(MonotonicTime at);
     void confirmThroughPeer(std::chrono::milliseconds age, MonotonicTime now);
 
-    const Parse m_parse;
+    const ParseFunction m_parse;
     uint64_t m_version = 0;
     std::string m_digest;
     std::string m_bytes;
     std::shared_ptr<const EnvironmentDocument> m_document;
-    uint64_t m_newestVersionSeen = 0;
-    std::string m_lastProblem;
+    uint64_t m_newestKnownVersion = 0;
+    std::string m_lastParseError;
     MonotonicTime m_acceptedAt;
     std::optional<MonotonicTime> m_confirmedAt;
 };
--- a/Libraries/LibEnvironment/DocumentTree.cpp
+++ b/Libraries/LibEnvironment/DocumentTree.cpp
@@ -38,8 +38,8 @@
 class TreeBuilder : public YAML::EventHandler
 {
 public:
-    explicit TreeBuilder(DocumentMistakes &mistakes)
-        : m_mistakes(mistakes)
+    explicit TreeBuilder(DocumentErrors &errors)
+        : m_errors(errors)
     {
     }
 
@@ -152,12 +152,12 @@
         for (const auto &key : map.keys) {
             const auto [first, inserted] = lines.emplace(key.text, key.position.line);
             if (!inserted) {
-                m_mistakes.add(key.position, absl::StrCat("the key \"", key.text, "\" was given in line ", first->second, " already"));
+                m_errors.add(key.position, absl::StrCat("the key \"", key.text, "\" was given in line ", first->second, " already"));
             }
         }
     }
 
-    DocumentMistakes &m_mistakes;
+    DocumentErrors &m_errors;
     DocumentNode m_root;
     std::vector<DocumentNode> m_open;
     size_t m_values = 0;
@@ -244,13 +244,13 @@
 
 } // namespace
 
-absl::StatusOr<DocumentNode> parseDocumentTree(std::string_view yaml, DocumentMistakes &mistakes)
+absl::StatusOr<DocumentNode> parseDocumentTree(std::string_view yaml, DocumentErrors &errors)
 {
     if (auto status = checkText(yaml); !status.ok()) {
         return status;
     }
     std::istringstream stream {std::string(yaml)};
-    TreeBuilder builder(mistakes);
+    TreeBuilder builder(errors);
     try {
         YAML::Parser parser(stream);
         while (parser.HandleNextDocument(builder)) { }
--- a/Libraries/LibEnvironment/DocumentTree.h
+++ b/Libraries/LibEnvironment/DocumentTree.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <absl/status/statusor.h>
-#include <LibEnvironment/DocumentMistakes.h>
+#include <LibEnvironment/DocumentErrors.h>
 #include <LibEnvironment/DocumentNode.h>
 #include <string_view>
 
@@ -15,6 +15,6 @@
 // Reads the YAML text into a tree, with limits on depth, size and number of values. Anchors, aliases, tags and a second document are rejected: no section
 // needs them, and aliases let a short text stand for an enormous tree. Mistakes that do not prevent further reading, such as duplicate keys, go to
 // mistakes. Errors: ErrorKind::InvalidUtf8 and ErrorKind::InvalidDocument, both with "line:column: text".
-absl::StatusOr<DocumentNode> parseDocumentTree(std::string_view yaml, DocumentMistakes &mistakes);
+absl::StatusOr<DocumentNode> parseDocumentTree(std::string_view yaml, DocumentErrors &errors);
 
 } // namespace Jujube
--- a/Libraries/LibEnvironment/EnvironmentDocument.h
+++ b/Libraries/LibEnvironment/EnvironmentDocument.h
@@ -69,7 +69,7 @@
     // A call that is not repeatable runs at most once per idempotency key.
     bool repeatable = false;
     // Age up to which a cached answer may be served. Zero means that answers are not cached.
-    std::chrono::milliseconds fresh {0};
+    std::chrono::milliseconds maxCacheAge {0};
     std::chrono::milliseconds timeout {10000};
 };
 
--- a/Libraries/LibEnvironment/MapReader.cpp
+++ b/Libraries/LibEnvironment/MapReader.cpp
@@ -44,10 +44,10 @@
     return !name.empty() && name.size() <= MaxNameBytes && isLetterOrDigit(name.front()) && std::all_of(name.begin(), name.end(), isAllowed);
 }
 
-MapReader::MapReader(const DocumentNode &node, std::string path, DocumentMistakes &mistakes)
+MapReader::MapReader(const DocumentNode &node, std::string path, DocumentErrors &errors)
     : m_node(node)
     , m_path(std::move(path))
-    , m_mistakes(mistakes)
+    , m_errors(errors)
 {
     if (node.kind != DocumentNode::Kind::Map && node.kind != DocumentNode::Kind::Null) {
         report("must be a map of fields");
@@ -206,12 +206,12 @@
 
 void MapReader::report(const DocumentNode &node, std::string_view key, std::string_view text)
 {
-    m_mistakes.add(node.position, absl::StrCat(pathOf(key), ": ", toAbsl(text)));
+    m_errors.add(node.position, absl::StrCat(pathOf(key), ": ", toAbsl(text)));
 }
 
 void MapReader::report(std::string_view text)
 {
-    m_mistakes.add(m_node.position, absl::StrCat(m_path.empty() ? "document" : m_path, ": ", toAbsl(text)));
+    m_errors.add(m_node.position, absl::StrCat(m_path.empty() ? "document" : m_path, ": ", toAbsl(text)));
 }
 
 void MapReader::finish()
@@ -223,7 +223,7 @@
     for (const auto &key : m_node.keys) {
         if (std::find(m_knownKeys.begin(), m_knownKeys.end(), key.text) == m_knownKeys.end()) {
             const auto nearest = nearestKnownKey(key.text);
-            m_mistakes.add(key.position, absl::StrCat(pathOf(key.text), ": unknown key; the nearest known key is \"", nearest, "\""));
+            m_errors.add(key.position, absl::StrCat(pathOf(key.text), ": unknown key; the nearest known key is \"", nearest, "\""));
         }
     }
 }
--- a/Libraries/LibEnvironment/MapReader.h
+++ b/Libraries/LibEnvironment/MapReader.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <functional>
 #include <initializer_list>
-#include <LibEnvironment/DocumentMistakes.h>
+#include <LibEnvironment/DocumentErrors.h>
 #include <optional>
 #include <string_view>
 
@@ -17,7 +17,7 @@
 {
 public:
     // The path names the map in messages, for example "targets.engine-1". A null counts as an empty map.
-    MapReader(const DocumentNode &node, std::string path, DocumentMistakes &mistakes);
+    MapReader(const DocumentNode &node, std::string path, DocumentErrors &errors);
 
     // Returns nothing if the key is absent.
     const DocumentNode *find(std::string_view key);
@@ -79,7 +79,7 @@
 
     const DocumentNode &m_node;
     const std::string m_path;
-    DocumentMistakes &m_mistakes;
+    DocumentErrors &m_errors;
     std::vector<std::string> m_knownKeys;
 };
 
--- a/Libraries/LibGateway/CrashWatch.cpp
+++ b/Libraries/LibGateway/CrashTracker.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/CrashWatch.h>
+#include <LibGateway/CrashTracker.h>
 
 #include <absl/strings/str_cat.h>
 #include <xxhash.h>
@@ -17,58 +17,58 @@
 
 } // namespace
 
-CrashWatch::CrashWatch(Options options)
+CrashTracker::CrashTracker(Options options)
     : m_options(std::move(options))
 {
 }
 
-CrashVerdict CrashWatch::verdict(uint64_t fingerprint, MonotonicTime now) const
+CrashVerdict CrashTracker::verdict(uint64_t fingerprint, MonotonicTime now) const
 {
     const std::lock_guard lock(m_mutex);
     return m_suspects.verdict(fingerprint, now);
 }
 
-std::set<std::string> CrashWatch::targetsOfSuspects() const
+std::set<std::string> CrashTracker::targetsOfSuspects() const
 {
     const std::lock_guard lock(m_mutex);
     std::set<std::string> targets;
-    for (const auto &[generation, running] : m_running) {
-        if (running.isSuspect) {
-            targets.insert(running.target);
+    for (const auto &[generation, run] : m_runs) {
+        if (run.isSuspect) {
+            targets.insert(run.target);
         }
     }
     return targets;
 }
 
-void CrashWatch::began(const std::string &generation, uint64_t fingerprint, const std::string &target, bool isSuspect)
+void CrashTracker::runStarted(const std::string &generation, uint64_t fingerprint, const std::string &target, bool isSuspect)
 {
     const std::lock_guard lock(m_mutex);
-    m_running[generation] = {.fingerprint = fingerprint, .target = target, .isSuspect = isSuspect};
+    m_runs[generation] = {.fingerprint = fingerprint, .target = target, .isSuspect = isSuspect};
 }
 
-void CrashWatch::reached(const std::string &generation)
+void CrashTracker::requestReceived(const std::string &generation)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_running.find(generation);
-    if (found != m_running.end()) {
-        found->second.hasReached = true;
+    const auto found = m_runs.find(generation);
+    if (found != m_runs.end()) {
+        found->second.isReceived = true;
     }
 }
 
-void CrashWatch::ended(const std::string &generation)
+void CrashTracker::runEnded(const std::string &generation)
 {
     const std::lock_guard lock(m_mutex);
-    m_running.erase(generation);
+    m_runs.erase(generation);
 }
 
-void CrashWatch::targetDied(const std::string &target, uint64_t incarnation, MonotonicTime now)
+void CrashTracker::targetCrashed(const std::string &target, uint64_t incarnation, MonotonicTime now)
 {
     CrashReport report {.crash = crashId(target, incarnation), .at = now};
     {
         const std::lock_guard lock(m_mutex);
-        for (const auto &[generation, running] : m_running) {
-            if (running.target == target && running.hasReached) {
-                report.fingerprints.push_back(running.fingerprint);
+        for (const auto &[generation, run] : m_runs) {
+            if (run.target == target && run.isReceived) {
+                report.fingerprints.push_back(run.fingerprint);
             }
         }
         merge(report, now);
@@ -80,7 +80,7 @@
     }
 }
 
-void CrashWatch::takeReports(const std::vector<CrashReport> &reports, MonotonicTime now)
+void CrashTracker::addReports(const std::vector<CrashReport> &reports, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     for (const auto &report : reports) {
@@ -89,7 +89,7 @@
     m_suspects.expire(now);
 }
 
-void CrashWatch::merge(const CrashReport &report, MonotonicTime now)
+void CrashTracker::merge(const CrashReport &report, MonotonicTime now)
 {
     const auto members = static_cast<int>(report.fingerprints.size());
     m_suspects.merge({.target = absl::StrCat(report.crash),
--- a/Libraries/LibGateway/CrashWatch.h
+++ b/Libraries/LibGateway/CrashTracker.h
@@ -13,7 +13,7 @@
 
 // Knows which of this gateway's generations run on which target, and what crashes say about them (docs/design.md, section 9). Safe to use from several
 // threads.
-class CrashWatch
+class CrashTracker
 {
 public:
     struct Options {
@@ -22,30 +22,30 @@
         std::function<void(const CrashReport &)> publish;
     };
 
-    explicit CrashWatch(Options options);
+    explicit CrashTracker(Options options);
 
     CrashVerdict verdict(uint64_t fingerprint, MonotonicTime now) const;
 
     // Targets on which other suspects of this gateway run. Suspects are kept apart, so that the next crash tells them apart.
     std::set<std::string> targetsOfSuspects() const;
 
-    void began(const std::string &generation, uint64_t fingerprint, const std::string &target, bool isSuspect);
+    void runStarted(const std::string &generation, uint64_t fingerprint, const std::string &target, bool isSuspect);
     // The target has received the request. Before that, its death has nothing to do with the request.
-    void reached(const std::string &generation);
-    void ended(const std::string &generation);
+    void requestReceived(const std::string &generation);
+    void runEnded(const std::string &generation);
 
     // A target died while it ran generations of this gateway.
-    void targetDied(const std::string &target, uint64_t incarnation, MonotonicTime now);
+    void targetCrashed(const std::string &target, uint64_t incarnation, MonotonicTime now);
 
     // All reports known to the membership.
-    void takeReports(const std::vector<CrashReport> &reports, MonotonicTime now);
+    void addReports(const std::vector<CrashReport> &reports, MonotonicTime now);
 
 private:
-    struct Running {
+    struct Run {
         uint64_t fingerprint;
         std::string target;
         bool isSuspect;
-        bool hasReached = false;
+        bool isReceived = false;
     };
 
     void merge(const CrashReport &report, MonotonicTime now);
@@ -53,7 +53,7 @@
     const Options m_options;
     mutable std::mutex m_mutex;
     CrashSuspects m_suspects;
-    std::unordered_map<std::string, Running> m_running;
+    std::unordered_map<std::string, Run> m_runs;
 };
 
 } // namespace Jujube
--- a/Libraries/LibGateway/DocumentKeeper.cpp
+++ b/Libraries/LibGateway/DocumentUpdater.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/DocumentKeeper.h>
+#include <LibGateway/DocumentUpdater.h>
 
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
@@ -17,13 +17,13 @@
 constexpr int JitterPercent = 20;
 constexpr int Percent = 100;
 
-std::shared_ptr<const DocumentInForce> makeInForce(const DocumentLedger &ledger)
+std::shared_ptr<const DocumentInForce> makeDocumentInForce(const DocumentTracker &tracker)
 {
     auto inForce = std::make_shared<DocumentInForce>();
-    inForce->version = static_cast<int64_t>(ledger.version());
-    inForce->digest = ledger.digest();
-    inForce->bytes = ledger.bytes();
-    inForce->document = *ledger.document();
+    inForce->version = static_cast<int64_t>(tracker.version());
+    inForce->digest = tracker.digest();
+    inForce->bytes = tracker.bytes();
+    inForce->document = *tracker.document();
     for (const auto &[name, workspace] : inForce->document.workspaces) {
         inForce->workspaceByKeyHash[workspace.keySha256] = name;
     }
@@ -32,17 +32,17 @@
 
 } // namespace
 
-DocumentKeeper::DocumentKeeper(Options options)
+DocumentUpdater::DocumentUpdater(Options options)
     : m_options(std::move(options))
     , m_table({.address = m_options.platform, .transport = m_options.transport})
     , m_objects({.address = m_options.platform, .transport = m_options.transport})
-    , m_judge({.self = m_options.self})
+    , m_connectivityTracker({.self = m_options.self})
     , m_random(std::random_device {}())
 {
     m_thread = std::thread([this] { run(); });
 }
 
-DocumentKeeper::~DocumentKeeper()
+DocumentUpdater::~DocumentUpdater()
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -52,89 +52,89 @@
     m_thread.join();
 }
 
-std::shared_ptr<const DocumentInForce> DocumentKeeper::current() const
+std::shared_ptr<const DocumentInForce> DocumentUpdater::current() const
 {
     const std::lock_guard lock(m_mutex);
     return m_current;
 }
 
-void DocumentKeeper::wake()
+void DocumentUpdater::wake()
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_wanted = true;
+        m_updateRequested = true;
     }
     m_wakeup.notify_all();
 }
 
-Connectivity DocumentKeeper::connectivity(MonotonicTime now) const
+Connectivity DocumentUpdater::connectivity(MonotonicTime now) const
 {
     const std::lock_guard lock(m_mutex);
-    return m_judge.judge(now);
+    return m_connectivityTracker.connectivity(now);
 }
 
-nlohmann::json DocumentKeeper::statusJson(MonotonicTime now) const
+nlohmann::json DocumentUpdater::statusJson(MonotonicTime now) const
 {
     const std::lock_guard lock(m_mutex);
     nlohmann::json json {
         {"environment", m_options.environment},
         {"gateway", m_options.self},
-        {"version", m_ledger.version()},
-        {"digest", m_ledger.digest()},
-        {"connectivity", nameOf(m_judge.judge(now))},
+        {"version", m_documentTracker.version()},
+        {"digest", m_documentTracker.digest()},
+        {"connectivity", nameOf(m_connectivityTracker.connectivity(now))},
     };
-    if (const auto age = m_ledger.age(now)) {
+    if (const auto age = m_documentTracker.age(now)) {
         json["age_ms"] = age->count();
     }
-    if (const auto age = m_ledger.confirmedAge(now)) {
+    if (const auto age = m_documentTracker.confirmedAge(now)) {
         json["confirmed_age_ms"] = age->count();
     }
     return json;
 }
 
-void DocumentKeeper::run()
+void DocumentUpdater::run()
 {
     while (true) {
-        round();
+        update();
         std::unique_lock lock(m_mutex);
         const auto jitter = m_options.interval * static_cast<int>(m_random() % JitterPercent) / Percent;
-        m_wakeup.wait_for(lock, m_options.interval - jitter, [this] { return m_stopping || m_wanted; });
-        m_wanted = false;
+        m_wakeup.wait_for(lock, m_options.interval - jitter, [this] { return m_stopping || m_updateRequested; });
+        m_updateRequested = false;
         if (m_stopping) {
             return;
         }
     }
 }
 
-void DocumentKeeper::round()
+void DocumentUpdater::update()
 {
     const auto peers = m_options.peers ? m_options.peers() : PeerSnapshot {};
-    observePeers(peers);
+    recordPeerContacts(peers);
     if (!readTable()) {
         fetchFromPeers(peers);
     }
-    noteConnectivity();
-    if (m_options.onRound) {
+    recordConnectivityChanges();
+    if (m_options.onUpdateFinished) {
         std::unique_lock lock(m_mutex);
-        const auto version = m_ledger.version();
-        const auto confirmedAge = m_ledger.confirmedAge(monotonicNow());
-        const auto platformAt = m_platformAt;
+        const auto version = m_documentTracker.version();
+        const auto confirmedAge = m_documentTracker.confirmedAge(monotonicNow());
+        const auto platformAt = m_platformReadAt;
         lock.unlock();
-        m_options.onRound(version, confirmedAge, platformAt);
+        m_options.onUpdateFinished(version, confirmedAge, platformAt);
     }
 }
 
-void DocumentKeeper::observePeers(const PeerSnapshot &peers)
+void DocumentUpdater::recordPeerContacts(const PeerSnapshot &peers)
 {
     const std::lock_guard lock(m_mutex);
     const auto now = monotonicNow();
-    m_judge.setMembers(peers.members);
+    m_connectivityTracker.setMembers(peers.members);
     for (const auto &contact : peers.contacts) {
-        m_judge.peerHeard({.peer = contact.name, .age = contact.age, .platformAge = peers.platformAge}, now);
+        m_connectivityTracker.addPeerReport({.peer = contact.name, .age = contact.age, .platformAge = peers.platformAge}, now);
     }
 }
 
-bool DocumentKeeper::readTable()
+bool DocumentUpdater::readTable()
 {
     const auto sentAt = monotonicNow();
     const auto result = m_table.get(documentHeadKey(m_options.environment));
@@ -144,9 +144,9 @@
     uint64_t versionInForce = 0;
     {
         const std::lock_guard lock(m_mutex);
-        m_platformAt = sentAt;
-        m_judge.platformAnswered(sentAt);
-        versionInForce = m_ledger.version();
+        m_platformReadAt = sentAt;
+        m_connectivityTracker.platformResponded(sentAt);
+        versionInForce = m_documentTracker.version();
     }
     if (result.end == ReadEnd::Absent) {
         return true;
@@ -158,7 +158,7 @@
     }
     {
         const std::lock_guard lock(m_mutex);
-        m_ledger.tableHeadSeen(head->version, head->digest, sentAt);
+        m_documentTracker.tableHeadReceived(head->version, head->digest, sentAt);
     }
     if (head->version > versionInForce) {
         fetchFromObjectStore(*head, sentAt);
@@ -166,7 +166,7 @@
     return true;
 }
 
-void DocumentKeeper::fetchFromObjectStore(const DocumentHead &head, MonotonicTime readSentAt)
+void DocumentUpdater::fetchFromObjectStore(const DocumentHead &head, MonotonicTime readSentAt)
 {
     const auto object = m_objects.get(head.object);
     if (object.end != ReadEnd::Found) {
@@ -176,12 +176,12 @@
     offer({.source = DocumentSource::Table, .version = head.version, .digest = head.digest, .bytes = object.bytes}, readSentAt);
 }
 
-void DocumentKeeper::fetchFromPeers(const PeerSnapshot &peers)
+void DocumentUpdater::fetchFromPeers(const PeerSnapshot &peers)
 {
     uint64_t versionInForce = 0;
     {
         const std::lock_guard lock(m_mutex);
-        versionInForce = m_ledger.version();
+        versionInForce = m_documentTracker.version();
     }
     const PeerContact *best = nullptr;
     for (const auto &contact : peers.contacts) {
@@ -193,31 +193,31 @@
         return;
     }
     const auto url = absl::StrCat("http://", best->address, "/environment/document");
-    const auto answer = m_options.transport({.url = url, .connectTimeout = PeerConnectTimeout, .totalTimeout = PeerTimeout});
+    const auto response = m_options.transport({.url = url, .connectTimeout = PeerConnectTimeout, .totalTimeout = PeerTimeout});
     uint64_t version = 0;
-    const auto versionHeader = answer.headers.find("jujube-document-version");
-    const auto digestHeader = answer.headers.find("jujube-document-digest");
-    if (!answer.isSuccess() || versionHeader == answer.headers.end() || digestHeader == answer.headers.end()
+    const auto versionHeader = response.headers.find("jujube-document-version");
+    const auto digestHeader = response.headers.find("jujube-document-digest");
+    if (!response.isSuccess() || versionHeader == response.headers.end() || digestHeader == response.headers.end()
         || !absl::SimpleAtoi(versionHeader->second, &version)) {
         return;
     }
-    offer({.source = DocumentSource::Peer, .version = version, .digest = digestHeader->second, .bytes = answer.body, .confirmedAge = std::nullopt},
+    offer({.source = DocumentSource::Peer, .version = version, .digest = digestHeader->second, .bytes = response.body, .confirmedAge = std::nullopt},
           monotonicNow());
 }
 
-void DocumentKeeper::offer(const DocumentOffer &offer, MonotonicTime now)
+void DocumentUpdater::offer(const DocumentOffer &offer, MonotonicTime now)
 {
     std::shared_ptr<const DocumentInForce> accepted;
     OfferResult result {};
     std::string problem;
     {
         const std::lock_guard lock(m_mutex);
-        result = m_ledger.offer(offer, now);
+        result = m_documentTracker.offer(offer, now);
         if (result == OfferResult::Accepted) {
-            m_current = makeInForce(m_ledger);
+            m_current = makeDocumentInForce(m_documentTracker);
             accepted = m_current;
         }
-        problem = m_ledger.lastProblem();
+        problem = m_documentTracker.lastParseError();
     }
     if (accepted) {
         record(EventKind::DocumentInForce, absl::StrCat("version ", accepted->version, " digest ", accepted->digest));
@@ -227,7 +227,7 @@
     }
 }
 
-void DocumentKeeper::noteConnectivity()
+void DocumentUpdater::recordConnectivityChanges()
 {
     const auto now = monotonicNow();
     const auto connectivity = this->connectivity(now);
@@ -241,7 +241,7 @@
     }
 }
 
-void DocumentKeeper::record(EventKind kind, std::string detail) const
+void DocumentUpdater::record(EventKind kind, std::string detail) const
 {
     m_options.events->record({.kind = kind, .detail = std::move(detail)}, wallMsNow());
 }
--- a/Libraries/LibGateway/DocumentKeeper.h
+++ b/Libraries/LibGateway/DocumentUpdater.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include <condition_variable>
-#include <LibEnvironment/ConnectivityJudge.h>
+#include <LibEnvironment/ConnectivityTracker.h>
 #include <LibEnvironment/DocumentHead.h>
-#include <LibEnvironment/DocumentLedger.h>
+#include <LibEnvironment/DocumentTracker.h>
 #include <LibEvents/EventLog.h>
 #include <LibGateway/DocumentInForce.h>
 #include <LibPlatform/ObjectClient.h>
@@ -18,7 +18,7 @@
 
 // Keeps the environment document of a gateway up to date: reads the head from the table service about once a second, and at once when a peer has a newer
 // version; falls back to the peer's copy. Has a thread of its own, so that a slow platform delays nobody else.
-class DocumentKeeper
+class DocumentUpdater
 {
 public:
     // A peer that is in contact, for telling a platform outage from isolation.
@@ -49,13 +49,13 @@
         // Called on the keeper's thread after a newer document is in force.
         std::function<void(const std::shared_ptr<const DocumentInForce> &)> onInForce;
         // Called on the keeper's thread after each round, with the time of the last read that the table service answered.
-        std::function<void(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, std::optional<MonotonicTime> platformAt)> onRound;
+        std::function<void(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, std::optional<MonotonicTime> platformAt)> onUpdateFinished;
     };
 
-    explicit DocumentKeeper(Options options);
-    ~DocumentKeeper();
-    DocumentKeeper(const DocumentKeeper &) = delete;
-    DocumentKeeper &operator=(const DocumentKeeper &) = delete;
+    explicit DocumentUpdater(Options options);
+    ~DocumentUpdater();
+    DocumentUpdater(const DocumentUpdater &) = delete;
+    DocumentUpdater &operator=(const DocumentUpdater &) = delete;
 
     // Null until the first document is in force.
     std::shared_ptr<const DocumentInForce> current() const;
@@ -75,14 +75,14 @@
 
 private:
     void run();
-    void round();
+    void update();
     // Reads the head and, if it is newer, the bytes. Returns false if the table service does not answer.
     bool readTable();
     void fetchFromObjectStore(const DocumentHead &head, MonotonicTime readSentAt);
     void fetchFromPeers(const PeerSnapshot &peers);
-    void observePeers(const PeerSnapshot &peers);
+    void recordPeerContacts(const PeerSnapshot &peers);
     void offer(const DocumentOffer &offer, MonotonicTime now);
-    void noteConnectivity();
+    void recordConnectivityChanges();
     void record(EventKind kind, std::string detail) const;
 
     const Options m_options;
@@ -91,11 +91,11 @@
     mutable std::mutex m_mutex;
     std::condition_variable m_wakeup;
     bool m_stopping = false;
-    bool m_wanted = false;
-    DocumentLedger m_ledger;
-    ConnectivityJudge m_judge;
+    bool m_updateRequested = false;
+    DocumentTracker m_documentTracker;
+    ConnectivityTracker m_connectivityTracker;
     std::shared_ptr<const DocumentInForce> m_current;
-    std::optional<MonotonicTime> m_platformAt;
+    std::optional<MonotonicTime> m_platformReadAt;
     Connectivity m_lastConnectivity = Connectivity::Connected;
     bool m_platformReachable = true;
     std::minstd_rand m_random;
--- a/Libraries/LibGateway/UpstreamStream.cpp
+++ b/Libraries/LibGateway/EngineStream.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/UpstreamStream.h>
+#include <LibGateway/EngineStream.h>
 
 #include <atomic>
 
@@ -10,23 +10,23 @@
 
 constexpr size_t RingCapacity = 64;
 
-constexpr int Ok = 200;
+constexpr int OkStatus = 200;
 constexpr int NotFoundStatus = 404;
 constexpr int TooManyRequestsStatus = 429;
 constexpr int UnavailableStatus = 503;
 
 } // namespace
 
-struct UpstreamStream::Shared {
+struct EngineStream::Shared {
     BoundedRing<Piece> ring {RingCapacity};
     std::atomic<bool> paused {false};
 };
 
-UpstreamEnd upstreamEndOf(const HttpAnswer &answer)
+UpstreamEnd engineStreamEndOf(const HttpAnswer &response)
 {
-    switch (answer.end) {
+    switch (response.end) {
     case HttpEnd::NotSent:
-        return answer.refused ? UpstreamEnd::Refused : UpstreamEnd::Unreachable;
+        return response.refused ? UpstreamEnd::Refused : UpstreamEnd::Unreachable;
     case HttpEnd::Silent:
         return UpstreamEnd::Silent;
     case HttpEnd::Broken:
@@ -36,8 +36,8 @@
     case HttpEnd::Complete:
         break;
     }
-    switch (answer.status) {
-    case Ok:
+    switch (response.status) {
+    case OkStatus:
         return UpstreamEnd::Closed;
     case NotFoundStatus:
         return UpstreamEnd::NotFound;
@@ -49,12 +49,12 @@
     }
 }
 
-UpstreamStream::UpstreamStream(HttpClient &client, HttpCall call)
+EngineStream::EngineStream(HttpClient &client, HttpCall call)
     : m_client(client)
     , m_shared(std::make_shared<Shared>())
 {
     const auto onBytes = [shared = m_shared](int status, std::string_view bytes) {
-        if (status != Ok) {
+        if (status != OkStatus) {
             // The body of an error is of no use here.
             return true;
         }
@@ -64,16 +64,16 @@
         shared->paused = true;
         return false;
     };
-    const auto onEnd = [shared = m_shared](const HttpAnswer &answer) { shared->ring.pushLast(upstreamEndOf(answer)); };
+    const auto onEnd = [shared = m_shared](const HttpAnswer &response) { shared->ring.pushLast(engineStreamEndOf(response)); };
     m_id = m_client.open(std::move(call), {.onBytes = onBytes, .onEnd = onEnd});
 }
 
-UpstreamStream::~UpstreamStream()
+EngineStream::~EngineStream()
 {
     m_client.cancel(m_id);
 }
 
-std::optional<UpstreamStream::Piece> UpstreamStream::next(std::chrono::milliseconds timeout)
+std::optional<EngineStream::Piece> EngineStream::next(std::chrono::milliseconds timeout)
 {
     auto piece = m_shared->ring.popFor(timeout);
     if (m_shared->ring.size() < RingCapacity / 2 && m_shared->paused.exchange(false)) {
--- a/Libraries/LibGateway/UpstreamStream.h
+++ b/Libraries/LibGateway/EngineStream.h
@@ -12,18 +12,18 @@
 
 // The stream of one generation from one engine. The client's thread fills a bounded ring with the bytes; the thread that serves the caller empties it. A full
 // ring pauses the connection, so that a caller that reads slowly slows its engine stream down instead of filling memory.
-class UpstreamStream
+class EngineStream
 {
 public:
     using Piece = std::variant<std::string, UpstreamEnd>;
 
     // Starts the call. The client must outlive the stream.
-    UpstreamStream(HttpClient &client, HttpCall call);
+    EngineStream(HttpClient &client, HttpCall call);
 
     // Cancels the call if it has not ended.
-    ~UpstreamStream();
-    UpstreamStream(const UpstreamStream &) = delete;
-    UpstreamStream &operator=(const UpstreamStream &) = delete;
+    ~EngineStream();
+    EngineStream(const EngineStream &) = delete;
+    EngineStream &operator=(const EngineStream &) = delete;
 
     // Waits for bytes or for the end, for at most the given time.
     std::optional<Piece> next(std::chrono::milliseconds timeout);
@@ -43,6 +43,6 @@
 };
 
 // What an answer's end and status mean for a generation.
-UpstreamEnd upstreamEndOf(const HttpAnswer &answer);
+UpstreamEnd engineStreamEndOf(const HttpAnswer &response);
 
 } // namespace Jujube
--- a/Libraries/LibGateway/FleetKeeper.cpp
+++ b/Libraries/LibGateway/FleetManager.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/FleetKeeper.h>
+#include <LibGateway/FleetManager.h>
 
 #include <LibCore/Json.h>
 
@@ -18,7 +18,7 @@
 // A load report is on average half an interval old when it is read.
 constexpr auto AssumedReportAge = 100ms;
 
-LoadReport parseLoad(const nlohmann::json &json)
+LoadReport parseLoadReport(const nlohmann::json &json)
 {
     LoadReport report;
     report.incarnation = json.value("incarnation", uint64_t {0});
@@ -32,7 +32,7 @@
     return report;
 }
 
-TargetDescription describe(const EnvironmentDocument &document, const std::string &name, const TargetEntry &entry)
+TargetDescription describeTarget(const EnvironmentDocument &document, const std::string &name, const TargetEntry &entry)
 {
     const auto dataCentre = document.dataCentres.find(entry.dataCentre);
     TargetDescription description {
@@ -56,7 +56,7 @@
     return "service:" + service;
 }
 
-FleetKeeper::FleetKeeper(Options options)
+FleetManager::FleetManager(Options options)
     : m_options(std::move(options))
     , m_vmList({.address = m_options.platform, .transport = [http = m_options.http](HttpCall call) { return http->call(std::move(call)); }})
     , m_policy(makePlacementPolicy(m_options.placement))
@@ -65,20 +65,20 @@
     m_thread = std::thread([this] { run(); });
 }
 
-FleetKeeper::~FleetKeeper()
+FleetManager::~FleetManager()
 {
     {
         const std::lock_guard lock(m_mutex);
         m_stopping = true;
     }
     m_stopSignal.notify_all();
-    m_turn.notify_all();
+    m_readyChanged.notify_all();
     m_thread.join();
     std::unique_lock lock(m_mutex);
-    m_stopSignal.wait(lock, [this] { return m_pendingLoads == 0; });
+    m_stopSignal.wait(lock, [this] { return m_pendingLoadReads == 0; });
 }
 
-void FleetKeeper::apply(const std::shared_ptr<const DocumentInForce> &document, MonotonicTime now)
+void FleetManager::apply(const std::shared_ptr<const DocumentInForce> &document, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     auto &fleet = m_policy->fleet();
@@ -90,7 +90,7 @@
         }
     }
     for (const auto &[name, entry] : document->document.targets) {
-        fleet.setTarget(describe(document->document, name, entry));
+        fleet.setTarget(describeTarget(document->document, name, entry));
     }
     for (const auto &[name, dataCentre] : document->document.dataCentres) {
         const bool out = dataCentre.state == DataCentreState::Out;
@@ -106,10 +106,10 @@
         }
     }
     m_document = document;
-    wakeReady(now);
+    wakeReadyGenerations(now);
 }
 
-PlacementDecision FleetKeeper::place(PlacementRequest request, MonotonicTime now)
+PlacementDecision FleetManager::place(PlacementRequest request, MonotonicTime now)
 {
     request.dataCentre = m_options.dataCentre;
     request.region = m_options.region;
@@ -118,61 +118,61 @@
     return m_policy->place(request, now, m_random());
 }
 
-void FleetKeeper::generationStarted(const std::string &id, MonotonicTime now)
+void FleetManager::generationStarted(const std::string &id, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     m_policy->generationStarted(id, now);
 }
 
-void FleetKeeper::tokensProduced(const std::string &id, int64_t count, MonotonicTime now)
+void FleetManager::tokensProduced(const std::string &id, int64_t count, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     m_policy->tokensProduced(id, count, now);
 }
 
-void FleetKeeper::generationFinished(const std::string &id, MonotonicTime now)
+void FleetManager::generationFinished(const std::string &id, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     m_policy->generationFinished(id, now);
-    wakeReady(now);
+    wakeReadyGenerations(now);
 }
 
-void FleetKeeper::generationFailed(const std::string &id, FailureReason reason, MonotonicTime now)
+void FleetManager::generationFailed(const std::string &id, FailureReason reason, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     m_policy->generationFailed(id, reason, now);
-    wakeReady(now);
+    wakeReadyGenerations(now);
 }
 
-void FleetKeeper::abandoned(const std::string &id, MonotonicTime now)
+void FleetManager::abandoned(const std::string &id, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     m_policy->abandoned(id, now);
 }
 
-void FleetKeeper::noteCold(const std::string &target, MonotonicTime now)
+void FleetManager::noteCold(const std::string &target, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     m_policy->fleet().noteCold(target, now);
 }
 
-void FleetKeeper::waitForTurn(const std::string &id, MonotonicTime until)
+void FleetManager::waitUntilReady(const std::string &id, MonotonicTime until)
 {
     std::unique_lock lock(m_mutex);
-    m_turn.wait_until(lock, until, [this, &id] { return m_stopping || m_ready.contains(id); });
+    m_readyChanged.wait_until(lock, until, [this, &id] { return m_stopping || m_ready.contains(id); });
     m_ready.erase(id);
 }
 
-void FleetKeeper::wakeReady(MonotonicTime now)
+void FleetManager::wakeReadyGenerations(MonotonicTime now)
 {
     const auto ready = m_policy->takeReady(now);
     m_ready.insert(ready.begin(), ready.end());
     if (!ready.empty()) {
-        m_turn.notify_all();
+        m_readyChanged.notify_all();
     }
 }
 
-std::optional<std::string> FleetKeeper::chooseServiceTarget(const std::string &service, const std::set<std::string> &excluded)
+std::optional<std::string> FleetManager::chooseServiceTarget(const std::string &service, const std::set<std::string> &excluded)
 {
     const std::lock_guard lock(m_mutex);
     const auto &fleet = m_policy->fleet();
@@ -191,13 +191,13 @@
     }
     for (const auto &names : byDistance) {
         if (!names.empty()) {
-            return names[m_serviceTurn++ % names.size()];
+            return names[m_serviceRoundRobin++ % names.size()];
         }
     }
     return std::nullopt;
 }
 
-std::optional<std::string> FleetKeeper::addressOf(const std::string &target) const
+std::optional<std::string> FleetManager::addressOf(const std::string &target) const
 {
     const std::lock_guard lock(m_mutex);
     if (!m_document) {
@@ -207,21 +207,21 @@
     return found == m_document->document.targets.end() ? std::nullopt : std::optional(found->second.address);
 }
 
-uint64_t FleetKeeper::incarnationOf(const std::string &target) const
+uint64_t FleetManager::incarnationOf(const std::string &target) const
 {
     const std::lock_guard lock(m_mutex);
     const auto index = m_policy->fleet().find(target);
     return index ? m_policy->fleet().target(*index).load.incarnation : 0;
 }
 
-bool FleetKeeper::isLeaving(const std::string &target) const
+bool FleetManager::isLeaving(const std::string &target) const
 {
     const std::lock_guard lock(m_mutex);
     const auto index = m_policy->fleet().find(target);
     return index && m_policy->fleet().target(*index).isLeaving();
 }
 
-bool FleetKeeper::hasReports() const
+bool FleetManager::hasLoadReport() const
 {
     const std::lock_guard lock(m_mutex);
     const auto &fleet = m_policy->fleet();
@@ -238,10 +238,10 @@
     return !anyLive;
 }
 
-std::vector<ColdTarget> FleetKeeper::coldTargets(MonotonicTime now) const
+std::vector<EngineColdState> FleetManager::engineColdStates(MonotonicTime now) const
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<ColdTarget> targets;
+    std::vector<EngineColdState> targets;
     if (!m_document) {
         return targets;
     }
@@ -257,32 +257,32 @@
             const auto entry = m_document->document.targets.find(target.description.name);
             const auto address = entry == m_document->document.targets.end() ? std::string() : entry->second.address;
             targets.push_back(
-                {.name = target.description.name, .address = address, .cold = usable && fleet.mayBeCold(index, now), .ownRunning = target.ownRunning});
+                {.name = target.description.name, .address = address, .mayBeCold = usable && fleet.mayBeCold(index, now), .ownRunning = target.ownRunning});
         }
     }
     return targets;
 }
 
-void FleetKeeper::setColdPermits(const std::string &target, int permits)
+void FleetManager::setColdPermits(const std::string &target, int permits)
 {
     const std::lock_guard lock(m_mutex);
     m_policy->fleet().setColdPermits(target, permits);
-    wakeReady(monotonicNow());
+    wakeReadyGenerations(monotonicNow());
 }
 
-void FleetKeeper::setLiveGateways(int count)
+void FleetManager::setLiveGateways(int count)
 {
     const std::lock_guard lock(m_mutex);
     m_policy->setLiveGateways(count);
 }
 
-void FleetKeeper::run()
+void FleetManager::run()
 {
     auto nextVmList = monotonicNow();
     std::unique_lock lock(m_mutex);
     while (!m_stopping) {
         lock.unlock();
-        pollLoads();
+        startLoadReads();
         if (monotonicNow() >= nextVmList) {
             readVmList();
             nextVmList = monotonicNow() + m_options.vmListInterval;
@@ -292,7 +292,7 @@
     }
 }
 
-void FleetKeeper::pollLoads()
+void FleetManager::startLoadReads()
 {
     std::vector<std::pair<std::string, std::string>> targets;
     {
@@ -303,7 +303,7 @@
         for (const auto &[name, entry] : m_document->document.targets) {
             targets.emplace_back(name, entry.address);
         }
-        m_pendingLoads += static_cast<int>(targets.size());
+        m_pendingLoadReads += static_cast<int>(targets.size());
     }
     for (const auto &[name, address] : targets) {
         const auto sentAt = monotonicNow();
@@ -315,33 +315,33 @@
                                       return true;
                                   },
                               .onEnd =
-                                  [this, body, name = name, sentAt](HttpAnswer answer) {
-                                      answer.body = *body;
-                                      takeLoad(name, answer, sentAt);
-                                      endLoad();
+                                  [this, body, name = name, sentAt](HttpAnswer response) {
+                                      response.body = *body;
+                                      processLoadResponse(name, response, sentAt);
+                                      finishLoadRead();
                                   }});
     }
 }
 
-void FleetKeeper::endLoad()
+void FleetManager::finishLoadRead()
 {
     const std::lock_guard lock(m_mutex);
-    --m_pendingLoads;
+    --m_pendingLoadReads;
     m_stopSignal.notify_all();
 }
 
-void FleetKeeper::takeLoad(const std::string &target, const HttpAnswer &answer, MonotonicTime sentAt)
+void FleetManager::processLoadResponse(const std::string &target, const HttpAnswer &response, MonotonicTime sentAt)
 {
-    if (!answer.isSuccess()) {
+    if (!response.isSuccess()) {
         return;
     }
-    const auto json = parseJson(answer.body);
+    const auto json = parseJson(response.body);
     if (!json.ok() || !json->is_object()) {
         return;
     }
     LoadReport report;
     try {
-        report = parseLoad(*json);
+        report = parseLoadReport(*json);
     } catch (const nlohmann::json::exception &) {
         m_options.metrics->count("jujube_invalid_load_reports_total");
         return;
@@ -355,10 +355,10 @@
     const auto before = m_policy->fleet().target(*index);
     m_policy->loadReported(target, report, now - sentAt + AssumedReportAge, now);
     recordChanges(target, before.load, before.hasReport, report);
-    wakeReady(now);
+    wakeReadyGenerations(now);
 }
 
-void FleetKeeper::recordChanges(const std::string &target, const LoadReport &before, bool hadReport, const LoadReport &after) const
+void FleetManager::recordChanges(const std::string &target, const LoadReport &before, bool hadReport, const LoadReport &after) const
 {
     const auto record = [this, &target](EventKind kind) { m_options.events->record({.kind = kind, .target = target}, wallMsNow()); };
     if (after.leaving && !(hadReport && before.leaving)) {
@@ -372,7 +372,7 @@
     }
 }
 
-void FleetKeeper::readVmList()
+void FleetManager::readVmList()
 {
     const auto list = m_vmList.read();
     if (list.end != ReadEnd::Found) {
--- a/Libraries/LibGateway/FleetKeeper.h
+++ b/Libraries/LibGateway/FleetManager.h
@@ -16,17 +16,17 @@
 {
 
 // An engine that may be cold, and how many own streams run on it.
-struct ColdTarget {
+struct EngineColdState {
     std::string name;
     // "address:port". Permit rows are keyed by it, since the controller knows targets by their addresses.
     std::string address;
-    bool cold = false;
+    bool mayBeCold = false;
     int ownRunning = 0;
 };
 
 // What a gateway knows about the targets, and its placement policy. Reads the targets' load and the VM list on a thread of its own. Safe to use from
 // several threads: the policy is called under one lock.
-class FleetKeeper
+class FleetManager
 {
 public:
     struct Options {
@@ -43,10 +43,10 @@
         std::function<void(const std::vector<Vm> &)> onVmList;
     };
 
-    explicit FleetKeeper(Options options);
-    ~FleetKeeper();
-    FleetKeeper(const FleetKeeper &) = delete;
-    FleetKeeper &operator=(const FleetKeeper &) = delete;
+    explicit FleetManager(Options options);
+    ~FleetManager();
+    FleetManager(const FleetManager &) = delete;
+    FleetManager &operator=(const FleetManager &) = delete;
 
     // Takes over the targets and data centres of a document.
     void apply(const std::shared_ptr<const DocumentInForce> &document, MonotonicTime now);
@@ -61,7 +61,7 @@
     void noteCold(const std::string &target, MonotonicTime now);
 
     // Waits until the time, or until the policy names the generation as ready for another decision.
-    void waitForTurn(const std::string &id, MonotonicTime until);
+    void waitUntilReady(const std::string &id, MonotonicTime until);
 
     // A usable target of a plain service, the own data centre first, or nothing.
     std::optional<std::string> chooseServiceTarget(const std::string &service, const std::set<std::string> &excluded);
@@ -71,11 +71,11 @@
     bool isLeaving(const std::string &target) const;
 
     // All engines that may get work, for the permits of cold ones.
-    std::vector<ColdTarget> coldTargets(MonotonicTime now) const;
+    std::vector<EngineColdState> engineColdStates(MonotonicTime now) const;
     void setColdPermits(const std::string &target, int permits);
 
     // Whether at least one target has reported its load, or there is none.
-    bool hasReports() const;
+    bool hasLoadReport() const;
 
     // The "address:port" of a target of the document in force, or nothing.
     std::optional<std::string> addressOf(const std::string &target) const;
@@ -84,27 +84,27 @@
 
 private:
     void run();
-    void pollLoads();
+    void startLoadReads();
     void readVmList();
-    void endLoad();
-    void takeLoad(const std::string &target, const HttpAnswer &answer, MonotonicTime sentAt);
+    void finishLoadRead();
+    void processLoadResponse(const std::string &target, const HttpAnswer &response, MonotonicTime sentAt);
     void recordChanges(const std::string &target, const LoadReport &before, bool hadReport, const LoadReport &after) const;
     // Wakes the waiting generations that the policy names. Called with the lock held.
-    void wakeReady(MonotonicTime now);
+    void wakeReadyGenerations(MonotonicTime now);
 
     const Options m_options;
     const VmListClient m_vmList;
     mutable std::mutex m_mutex;
     std::condition_variable m_stopSignal;
-    std::condition_variable m_turn;
+    std::condition_variable m_readyChanged;
     std::set<std::string> m_ready;
     std::unique_ptr<PlacementPolicy> m_policy;
     std::shared_ptr<const DocumentInForce> m_document;
     std::mt19937_64 m_random;
-    uint64_t m_serviceTurn = 0;
+    uint64_t m_serviceRoundRobin = 0;
     bool m_stopping = false;
     // Load reads whose answers still come. They refer to this object.
-    int m_pendingLoads = 0;
+    int m_pendingLoadReads = 0;
     std::thread m_thread;
 };
 
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-constexpr int Ok = 200;
-constexpr int Unavailable = 503;
-constexpr int GatewayListSeconds = 30;
+constexpr int OkStatus = 200;
+constexpr int UnavailableStatus = 503;
+constexpr int GatewayListTtlSeconds = 30;
 constexpr std::string_view GenerationsPath = "/v1/generations";
 constexpr std::string_view ServicesPrefix = "/v1/services/";
 constexpr std::string_view GatewaysPath = "/v1/gateways";
@@ -67,7 +67,7 @@
     m_parts.metrics = std::make_unique<Metrics>();
     m_parts.http = std::make_unique<HttpClient>();
     m_parts.cursors = std::make_unique<CursorCodec>(CursorCodec::Options {.key = options.cursorKey, .previousKey = options.previousCursorKey});
-    m_parts.crashes = std::make_unique<CrashWatch>(CrashWatch::Options {
+    m_parts.crashes = std::make_unique<CrashTracker>(CrashTracker::Options {
         .events = m_parts.events.get(),
         .publish = [this](const CrashReport &report) { m_parts.membership->reportCrash(report, monotonicNow()); },
     });
@@ -82,7 +82,7 @@
         return server.status();
     }
     m_server = *std::move(server);
-    m_parts.fleet = std::make_unique<FleetKeeper>(FleetKeeper::Options {
+    m_parts.fleet = std::make_unique<FleetManager>(FleetManager::Options {
         .dataCentre = options.dataCentre,
         .region = options.region,
         .platform = options.platform,
@@ -136,7 +136,7 @@
                             m_parts.documents->wake();
                         }
                     },
-                .onCrashReports = [this](const std::vector<CrashReport> &reports) { m_parts.crashes->takeReports(reports, monotonicNow()); },
+                .onCrashReports = [this](const std::vector<CrashReport> &reports) { m_parts.crashes->addReports(reports, monotonicNow()); },
                 .tick = [events](int64_t wallMs) { return events->tick(wallMs); },
                 .observe = [events](const HybridTime &remote, int64_t wallMs) { events->observe(remote, wallMs); },
             },
@@ -151,7 +151,7 @@
 void Gateway::startDocuments()
 {
     const auto &options = m_parts.options;
-    m_parts.documents = std::make_unique<DocumentKeeper>(DocumentKeeper::Options {
+    m_parts.documents = std::make_unique<DocumentUpdater>(DocumentUpdater::Options {
         .environment = options.environment,
         .self = options.name,
         .platform = options.platform,
@@ -160,9 +160,9 @@
         .events = m_parts.events.get(),
         .peers = [this] { return peerSnapshot(); },
         .onInForce = [this](const std::shared_ptr<const DocumentInForce> &document) { m_parts.fleet->apply(document, monotonicNow()); },
-        .onRound = [this](uint64_t version,
-                          std::optional<std::chrono::milliseconds> confirmedAge,
-                          std::optional<MonotonicTime> platformAt) { publishOwnState(version, confirmedAge, platformAt); },
+        .onUpdateFinished = [this](uint64_t version,
+                                   std::optional<std::chrono::milliseconds> confirmedAge,
+                                   std::optional<MonotonicTime> platformAt) { publishOwnState(version, confirmedAge, platformAt); },
     });
 }
 
@@ -170,7 +170,7 @@
 {
     m_table = std::make_unique<TableClient>(
         TableClient::Options {.address = m_parts.options.platform, .transport = [this](HttpCall call) { return m_parts.http->call(std::move(call)); }});
-    m_permits = std::make_unique<PermitKeeper>(PermitKeeper::Options {
+    m_permits = std::make_unique<PermitManager>(PermitManager::Options {
         .self = {.name = m_parts.options.name, .address = address(), .incarnation = static_cast<uint64_t>(m_incarnation)},
         .table = m_table.get(),
         .fleet = m_parts.fleet.get(),
@@ -178,10 +178,10 @@
     });
 }
 
-DocumentKeeper::PeerSnapshot Gateway::peerSnapshot() const
+DocumentUpdater::PeerSnapshot Gateway::peerSnapshot() const
 {
     const auto now = monotonicNow();
-    DocumentKeeper::PeerSnapshot snapshot;
+    DocumentUpdater::PeerSnapshot snapshot;
     for (const auto &member : m_parts.membership->members(now)) {
         if (member.state == MemberState::Gone) {
             continue;
@@ -259,7 +259,7 @@
     const OpenRequest open(m_parts.openRequests);
     const auto caller = authenticate(request, *m_parts.documents);
     if (!caller.ok()) {
-        refuse(m_parts, responder, Problem::fromStatus(caller.status()), {});
+        respondWithProblem(m_parts, responder, Problem::fromStatus(caller.status()), {});
         return;
     }
     if (request.path == GatewaysPath && request.method == "GET") {
@@ -267,19 +267,19 @@
         return;
     }
     if (m_parts.draining) {
-        refuse(m_parts, responder, problemOf(ErrorKind::Draining, "this gateway is shutting down"), {});
+        respondWithProblem(m_parts, responder, problemOf(ErrorKind::Draining, "this gateway is shutting down"), {});
         return;
     }
     if (m_parts.openRequests > m_parts.options.threads - ReservedThreads) {
-        refuse(m_parts, responder, problemOf(ErrorKind::Overloaded, "this gateway has no thread for another request"), {});
+        respondWithProblem(m_parts, responder, problemOf(ErrorKind::Overloaded, "this gateway has no thread for another request"), {});
         return;
     }
-    if (const auto problem = m_admission.begin(caller->workspace, caller->settings().limits, m_parts.liveGateways, monotonicNow())) {
-        refuse(m_parts, responder, *problem, {});
+    if (const auto problem = m_admission.admit(caller->workspace, caller->settings().limits, m_parts.liveGateways, monotonicNow())) {
+        respondWithProblem(m_parts, responder, *problem, {});
         return;
     }
     serveCaller(request, *caller, responder);
-    m_admission.end(caller->workspace);
+    m_admission.release(caller->workspace);
 }
 
 void Gateway::serveCaller(const HttpRequest &request, const Caller &caller, HttpResponder &responder)
@@ -289,9 +289,9 @@
     } else if (request.path.starts_with(ServicesPrefix)) {
         m_services->handle(request, caller, responder);
     } else if (request.path == GenerationsPath || request.path == GatewaysPath) {
-        refuse(m_parts, responder, {.kind = ErrorKind::MethodNotAllowed, .detail = request.method}, {});
+        respondWithProblem(m_parts, responder, {.kind = ErrorKind::MethodNotAllowed, .detail = request.method}, {});
     } else {
-        refuse(m_parts, responder, {.kind = ErrorKind::NotFound, .detail = request.path}, {});
+        respondWithProblem(m_parts, responder, {.kind = ErrorKind::NotFound, .detail = request.path}, {});
     }
 }
 
@@ -301,7 +301,7 @@
         return false;
     }
     if (request.path == "/livez") {
-        responder.send(Ok, "text/plain", "ok\n");
+        responder.send(OkStatus, "text/plain", "ok\n");
     } else if (request.path == "/readyz") {
         sendReadiness(responder);
     } else if (request.path == "/metrics") {
@@ -313,9 +313,9 @@
             responder.sendProblem({.kind = ErrorKind::InvalidValue, .detail = "\"after\" must be a whole number"});
             return true;
         }
-        responder.sendJson(Ok, m_parts.events->pageToJson(after));
+        responder.sendJson(OkStatus, m_parts.events->pageToJson(after));
     } else if (request.path == "/environment") {
-        responder.sendJson(Ok, m_parts.documents->statusJson(monotonicNow()));
+        responder.sendJson(OkStatus, m_parts.documents->statusJson(monotonicNow()));
     } else if (request.path == "/environment/document") {
         sendDocument(responder);
     } else {
@@ -331,20 +331,22 @@
         responder.sendProblem({.kind = ErrorKind::NotFound, .detail = "no environment document has been read yet"});
         return;
     }
-    responder.send(
-        Ok, "application/yaml", document->bytes, {{"Jujube-Document-Version", absl::StrCat(document->version)}, {"Jujube-Document-Digest", document->digest}});
+    responder.send(OkStatus,
+                   "application/yaml",
+                   document->bytes,
+                   {{"Jujube-Document-Version", absl::StrCat(document->version)}, {"Jujube-Document-Digest", document->digest}});
 }
 
 void Gateway::sendReadiness(HttpResponder &responder) const
 {
-    const bool ready = !m_parts.draining && m_parts.documents->current() != nullptr && m_parts.fleet->hasReports();
-    responder.send(ready ? Ok : Unavailable, "text/plain", ready ? "ready\n" : "not ready\n");
+    const bool ready = !m_parts.draining && m_parts.documents->current() != nullptr && m_parts.fleet->hasLoadReport();
+    responder.send(ready ? OkStatus : UnavailableStatus, "text/plain", ready ? "ready\n" : "not ready\n");
 }
 
 void Gateway::sendMetrics(HttpResponder &responder) const
 {
     m_parts.metrics->set("jujube_open_requests", m_parts.openRequests);
-    responder.send(Ok, "text/plain; version=0.0.4", m_parts.metrics->toText());
+    responder.send(OkStatus, "text/plain; version=0.0.4", m_parts.metrics->toText());
 }
 
 void Gateway::listGateways(HttpResponder &responder) const
@@ -382,7 +384,7 @@
     for (const auto &candidate : candidates) {
         list.push_back({{"address", candidate.address}, {"data_centre", candidate.dataCentre}});
     }
-    responder.sendJson(Ok, {{"gateways", list}, {"ttl_s", GatewayListSeconds}});
+    responder.sendJson(OkStatus, {{"gateways", list}, {"ttl_s", GatewayListTtlSeconds}});
 }
 
 } // namespace Jujube
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibGateway/GenerationHandler.h>
-#include <LibGateway/PermitKeeper.h>
+#include <LibGateway/PermitManager.h>
 #include <LibGateway/ServiceHandler.h>
 #include <LibGateway/WorkspaceAdmission.h>
 #include <LibHttp/HttpServer.h>
@@ -38,7 +38,7 @@
     absl::Status startMembership();
     void startDocuments();
     void startPermits();
-    DocumentKeeper::PeerSnapshot peerSnapshot() const;
+    DocumentUpdater::PeerSnapshot peerSnapshot() const;
     void onVmList(const std::vector<Vm> &vms) const;
     void publishOwnState(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, std::optional<MonotonicTime> platformAt);
 
@@ -57,7 +57,7 @@
     GatewayParts m_parts;
     WorkspaceAdmission m_admission;
     std::unique_ptr<TableClient> m_table;
-    std::unique_ptr<PermitKeeper> m_permits;
+    std::unique_ptr<PermitManager> m_permits;
     std::unique_ptr<GenerationHandler> m_generations;
     std::unique_ptr<ServiceHandler> m_services;
     std::unique_ptr<HttpServer> m_server;
--- a/Libraries/LibGateway/GenerationHandler.cpp
+++ b/Libraries/LibGateway/GenerationHandler.cpp
@@ -32,12 +32,12 @@
 {
     const auto cursor = readCursor(request, caller);
     if (!cursor.ok()) {
-        refuse(m_parts, responder, Problem::fromStatus(cursor.status()), {});
+        respondWithProblem(m_parts, responder, Problem::fromStatus(cursor.status()), {});
         return;
     }
     const auto body = parseGenerationBody(request.body, caller.document->document);
     if (!body.ok()) {
-        refuse(m_parts, responder, Problem::fromStatus(body.status()), {});
+        respondWithProblem(m_parts, responder, Problem::fromStatus(body.status()), {});
         return;
     }
     const auto generation = *cursor ? (*cursor)->generation : generationIdFor(caller.workspace, request.header("idempotency-key"), request.body);
--- a/Libraries/LibGateway/GenerationStream.cpp
+++ b/Libraries/LibGateway/GenerationStream.cpp
@@ -14,19 +14,19 @@
 
 constexpr auto EngineConnectTimeout = 1000ms;
 constexpr auto AbandonTimeout = 1000ms;
-constexpr auto NoLimit = 0ms;
+constexpr auto NoTimeout = 0ms;
 
 // Bytes are collected while more tokens are at hand, and written together.
 constexpr size_t FlushBytes = 16 * 1024;
 
-constexpr auto SuspectPoll = 200ms;
+constexpr auto SuspectRetryDelay = 200ms;
 
 // Requests that shared a crashed target come back at different times, also at different gateways. If they moved on together, every further crash would have
 // the same members, and the one that causes them could not be told from the others.
-std::chrono::milliseconds isolationPause(const std::string &generation, int32_t attempt)
+std::chrono::milliseconds isolationDelay(const std::string &generation, int32_t attempt)
 {
-    constexpr uint64_t LongestMs = 3000;
-    return std::chrono::milliseconds(XXH3_64bits_withSeed(generation.data(), generation.size(), static_cast<uint64_t>(attempt)) % LongestMs);
+    constexpr uint64_t MaxDelayMs = 3000;
+    return std::chrono::milliseconds(XXH3_64bits_withSeed(generation.data(), generation.size(), static_cast<uint64_t>(attempt)) % MaxDelayMs);
 }
 
 GenerationSession::Options sessionOptions(const GenerationStream::Options &options)
@@ -53,7 +53,7 @@
     , m_session(sessionOptions(m_options), monotonicNow())
     , m_fingerprint(CrashSuspects::fingerprint(m_options.caller.workspace, m_options.body.model, std::to_string(m_options.bodyDigest)))
     , m_acceptedAt(monotonicNow())
-    , m_lastWrite(m_acceptedAt)
+    , m_lastWriteAt(m_acceptedAt)
 {
 }
 
@@ -63,22 +63,22 @@
         record(EventKind::StreamResumed, m_options.cursor->target, absl::StrCat("from offset ", m_options.cursor->nextOffset));
     }
     perform(m_session.start(monotonicNow()));
-    while (!m_session.isOver() && !m_callerGone) {
-        if (m_upstream) {
-            readUpstream();
+    while (!m_session.isOver() && !m_isCallerGone) {
+        if (m_engineStream) {
+            readEngineStream();
         } else {
             waitForTarget();
         }
     }
-    settle();
+    finish();
 }
 
 void GenerationStream::perform(GenerationActions actions)
 {
-    m_pending.insert(m_pending.end(), std::make_move_iterator(actions.begin()), std::make_move_iterator(actions.end()));
-    while (!m_pending.empty()) {
-        const auto action = std::move(m_pending.front());
-        m_pending.erase(m_pending.begin());
+    m_pendingActions.insert(m_pendingActions.end(), std::make_move_iterator(actions.begin()), std::make_move_iterator(actions.end()));
+    while (!m_pendingActions.empty()) {
+        const auto action = std::move(m_pendingActions.front());
+        m_pendingActions.erase(m_pendingActions.begin());
         std::visit([this](const auto &concrete) { perform(concrete); }, action);
     }
 }
@@ -95,7 +95,7 @@
         .promptTokens = estimatePromptTokens(body.prompt),
         .producedTokens = m_session.producedTokens(),
         .maxTokens = body.maxTokens,
-        .accepted = m_session.producedTokens() > 0 || m_answerBegun,
+        .accepted = m_session.producedTokens() > 0 || m_isResponseBegun,
         .excludedTargets = {excluded.begin(), excluded.end()},
     };
 }
@@ -104,14 +104,14 @@
 {
     const auto now = monotonicNow();
     auto excluded = action.excludedTargets;
-    auto next = checkSuspicion(now, excluded);
+    auto next = checkCrashSuspicion(now, excluded);
     if (!next) {
         next = placeNow(excluded, now);
     }
-    m_pending.insert(m_pending.end(), next->begin(), next->end());
+    m_pendingActions.insert(m_pendingActions.end(), next->begin(), next->end());
 }
 
-std::optional<GenerationActions> GenerationStream::checkSuspicion(MonotonicTime now, std::set<std::string> &excluded)
+std::optional<GenerationActions> GenerationStream::checkCrashSuspicion(MonotonicTime now, std::set<std::string> &excluded)
 {
     const auto verdict = m_parts.crashes->verdict(m_fingerprint, now);
     m_isSuspect = verdict.action != CrashVerdict::Action::Run;
@@ -151,8 +151,8 @@
     }
     const auto decision = m_parts.fleet->place(placementRequest(excluded), now);
     if (const auto *placed = std::get_if<PlaceOnTarget>(&decision)) {
-        m_placed = true;
-        m_parts.crashes->began(m_options.generation, m_fingerprint, placed->target, m_isSuspect);
+        m_isPlaced = true;
+        m_parts.crashes->runStarted(m_options.generation, m_fingerprint, placed->target, m_isSuspect);
         record(EventKind::TargetChosen, placed->target);
         return m_session.onPlaced(placed->target, now);
     }
@@ -162,7 +162,7 @@
     const auto &refused = std::get<RefuseRequest>(decision);
     if (m_isSuspect && now - m_acceptedAt < m_options.caller.document->document.limits.queueWait) {
         // All usable targets run other suspects, which end or are cleared.
-        return m_session.onHeld(now + SuspectPoll, now);
+        return m_session.onHeld(now + SuspectRetryDelay, now);
     }
     return m_session.onRefused({.kind = refused.kind, .detail = "no target has room for this request", .retryAfter = refused.retryAfter}, now);
 }
@@ -195,19 +195,19 @@
     const auto address = m_parts.fleet->addressOf(action.target);
     if (!address) {
         auto next = m_session.onUpstreamEnd(UpstreamEnd::Unreachable, monotonicNow());
-        m_pending.insert(m_pending.end(), next.begin(), next.end());
+        m_pendingActions.insert(m_pendingActions.end(), next.begin(), next.end());
         return;
     }
     if (action.attempt > 1) {
         record(EventKind::StreamContinued, action.target, absl::StrCat("attempt ", action.attempt, " from offset ", m_session.producedTokens()));
     }
     // A caller that waits for a long prompt can come back with the id of the chosen target.
-    if (m_session.producedTokens() == 0 && !beginAnswer()) {
+    if (m_session.producedTokens() == 0 && !beginResponse()) {
         return;
     }
-    m_hasReached = false;
+    m_isRequestReceived = false;
     m_targetIncarnation = m_parts.fleet->incarnationOf(action.target);
-    openUpstream(generateCall(*address, action));
+    openEngineStream(generateCall(*address, action));
 }
 
 void GenerationStream::perform(const Resume &action)
@@ -215,25 +215,25 @@
     const auto address = m_parts.fleet->addressOf(action.target);
     if (!address) {
         auto next = m_session.onUpstreamEnd(UpstreamEnd::Unreachable, monotonicNow());
-        m_pending.insert(m_pending.end(), next.begin(), next.end());
+        m_pendingActions.insert(m_pendingActions.end(), next.begin(), next.end());
         return;
     }
-    openUpstream({.url = absl::StrCat("http://", *address, "/generations/", m_options.generation, "?from=", action.from)});
+    openEngineStream({.url = absl::StrCat("http://", *address, "/generations/", m_options.generation, "?from=", action.from)});
 }
 
-void GenerationStream::openUpstream(HttpCall call)
+void GenerationStream::openEngineStream(HttpCall call)
 {
     call.connectTimeout = EngineConnectTimeout;
-    call.totalTimeout = NoLimit;
+    call.totalTimeout = NoTimeout;
     call.silenceTimeout = m_parts.options.silenceTimeout;
     // A silent connection must not be used again for the attempt to get around it.
     call.freshConnection = true;
-    m_upstream = std::make_shared<UpstreamStream>(*m_parts.http, std::move(call));
+    m_engineStream = std::make_shared<EngineStream>(*m_parts.http, std::move(call));
 }
 
 void GenerationStream::perform(const Abandon &action)
 {
-    m_upstream.reset();
+    m_engineStream.reset();
     const auto address = m_parts.fleet->addressOf(action.target);
     if (!address) {
         return;
@@ -248,14 +248,14 @@
     const auto now = monotonicNow();
     record(EventKind::TargetLost, action.target);
     m_parts.metrics->count("jujube_targets_lost_total");
-    const bool died = action.end == UpstreamEnd::Refused || action.end == UpstreamEnd::NotFound;
-    if (m_placed && died && m_hasReached && !m_parts.fleet->isLeaving(action.target)) {
-        m_parts.crashes->targetDied(action.target, m_targetIncarnation, now);
-        m_isolatedUntil = now + isolationPause(m_options.generation, m_session.attempt());
-    }
-    m_parts.crashes->ended(m_options.generation);
-    if (m_placed) {
-        m_placed = false;
+    const bool hasCrashed = action.end == UpstreamEnd::Refused || action.end == UpstreamEnd::NotFound;
+    if (m_isPlaced && hasCrashed && m_isRequestReceived && !m_parts.fleet->isLeaving(action.target)) {
+        m_parts.crashes->targetCrashed(action.target, m_targetIncarnation, now);
+        m_isolatedUntil = now + isolationDelay(m_options.generation, m_session.attempt());
+    }
+    m_parts.crashes->runEnded(m_options.generation);
+    if (m_isPlaced) {
+        m_isPlaced = false;
         m_parts.fleet->generationFailed(m_options.generation, action.end == UpstreamEnd::Busy ? FailureReason::Moved : FailureReason::TargetLost, now);
     }
 }
@@ -263,16 +263,16 @@
 void GenerationStream::perform(const Deliver &action)
 {
     const auto now = monotonicNow();
-    if (!beginAnswer()) {
+    if (!beginResponse()) {
         return;
     }
-    if (!m_lastToken) {
+    if (!m_lastTokenAt) {
         record(EventKind::StreamStarted, m_session.target());
         m_parts.metrics->observe("jujube_time_to_first_token_seconds", secondsBetween(m_acceptedAt, now));
     } else {
-        m_parts.metrics->observe("jujube_time_between_tokens_seconds", secondsBetween(*m_lastToken, now));
+        m_parts.metrics->observe("jujube_time_between_tokens_seconds", secondsBetween(*m_lastTokenAt, now));
     }
-    m_lastToken = now;
+    m_lastTokenAt = now;
     const nlohmann::json data {{"index", action.index}, {"text", action.text}};
     const auto id = m_parts.cursors->encode(cursorAt(action.index + 1, action.checksum));
     absl::StrAppend(&m_output, "id: ", id, "\nevent: token\ndata: ", data.dump(), "\n\n");
@@ -283,7 +283,7 @@
 
 void GenerationStream::perform(const Complete &action)
 {
-    if (!beginAnswer()) {
+    if (!beginResponse()) {
         return;
     }
     const nlohmann::json data {{"count", action.count}, {"checksum", action.checksum}};
@@ -295,8 +295,8 @@
 
 void GenerationStream::perform(const Fail &action)
 {
-    if (!m_answerBegun) {
-        refuse(m_parts, m_responder, action.problem, m_options.generation);
+    if (!m_isResponseBegun) {
+        respondWithProblem(m_parts, m_responder, action.problem, m_options.generation);
         return;
     }
     const std::string name(errorKindInfo(action.problem.kind).name);
@@ -308,7 +308,7 @@
 
 void GenerationStream::perform(const Wait &action)
 {
-    m_upstream.reset();
+    m_engineStream.reset();
     m_waitUntil = action.until;
 }
 
@@ -316,24 +316,24 @@
 {
     const auto now = monotonicNow();
     const auto until = std::min(m_waitUntil.value_or(now + 100ms), now + m_parts.options.keepAliveInterval);
-    m_parts.fleet->waitForTurn(m_options.generation, until);
-    if (keepAlive()) {
+    m_parts.fleet->waitUntilReady(m_options.generation, until);
+    if (sendKeepAlive()) {
         perform(m_session.onTime(monotonicNow()));
     }
 }
 
-void GenerationStream::readUpstream()
+void GenerationStream::readEngineStream()
 {
-    auto piece = m_upstream->next(m_output.empty() ? 500ms : 0ms);
+    auto piece = m_engineStream->next(m_output.empty() ? 500ms : 0ms);
     if (!piece) {
         flush();
-        keepAlive();
+        sendKeepAlive();
         return;
     }
     if (const auto *end = std::get_if<UpstreamEnd>(&*piece)) {
-        m_upstream.reset();
+        m_engineStream.reset();
         if (*end == UpstreamEnd::Closed || *end == UpstreamEnd::Broken || *end == UpstreamEnd::Silent) {
-            noteReached();
+            markRequestReceived();
         }
         if (*end == UpstreamEnd::Silent) {
             record(EventKind::TargetSilent, m_session.target());
@@ -341,25 +341,25 @@
         perform(m_session.onUpstreamEnd(*end, monotonicNow()));
         return;
     }
-    takeBytes(std::get<std::string>(*piece));
+    processBytes(std::get<std::string>(*piece));
 }
 
-void GenerationStream::noteReached()
+void GenerationStream::markRequestReceived()
 {
-    if (!m_hasReached) {
-        m_hasReached = true;
-        m_parts.crashes->reached(m_options.generation);
+    if (!m_isRequestReceived) {
+        m_isRequestReceived = true;
+        m_parts.crashes->requestReceived(m_options.generation);
     }
 }
 
-void GenerationStream::takeBytes(const std::string &bytes)
+void GenerationStream::processBytes(const std::string &bytes)
 {
-    noteReached();
+    markRequestReceived();
     // An action may replace the upstream stream; the lines left over belong to the old one, whose parser must outlive this call.
-    const auto source = m_upstream;
+    const auto source = m_engineStream;
     const auto before = m_session.producedTokens();
     source->parser().feed(bytes, [this, &source](const EngineLine &line) {
-        if (m_upstream != source || m_session.isOver() || m_callerGone) {
+        if (m_engineStream != source || m_session.isOver() || m_isCallerGone) {
             return;
         }
         if (line.cold) {
@@ -368,7 +368,7 @@
         perform(m_session.onLine(line, monotonicNow()));
     });
     const auto produced = m_session.producedTokens() - before;
-    if (m_placed && produced > 0) {
+    if (m_isPlaced && produced > 0) {
         if (before == 0) {
             m_parts.fleet->generationStarted(m_options.generation, monotonicNow());
         }
@@ -390,14 +390,14 @@
     };
 }
 
-bool GenerationStream::beginAnswer()
+bool GenerationStream::beginResponse()
 {
-    if (m_answerBegun) {
-        return !m_callerGone;
+    if (m_isResponseBegun) {
+        return !m_isCallerGone;
     }
-    m_answerBegun = true;
+    m_isResponseBegun = true;
     if (!m_responder.beginStream("text/event-stream")) {
-        m_callerGone = true;
+        m_isCallerGone = true;
         return false;
     }
     if (!m_options.cursor) {
@@ -408,36 +408,36 @@
 
 bool GenerationStream::flush()
 {
-    if (m_output.empty() || m_callerGone) {
-        return !m_callerGone;
+    if (m_output.empty() || m_isCallerGone) {
+        return !m_isCallerGone;
     }
-    m_callerGone = !m_responder.write(m_output);
+    m_isCallerGone = !m_responder.write(m_output);
     m_output.clear();
-    m_lastWrite = monotonicNow();
-    return !m_callerGone;
+    m_lastWriteAt = monotonicNow();
+    return !m_isCallerGone;
 }
 
-bool GenerationStream::keepAlive()
+bool GenerationStream::sendKeepAlive()
 {
-    if (m_callerGone || !m_answerBegun || monotonicNow() - m_lastWrite < m_parts.options.keepAliveInterval) {
-        return !m_callerGone;
+    if (m_isCallerGone || !m_isResponseBegun || monotonicNow() - m_lastWriteAt < m_parts.options.keepAliveInterval) {
+        return !m_isCallerGone;
     }
     m_output += ": keep-alive\n\n";
     return flush();
 }
 
-void GenerationStream::settle()
+void GenerationStream::finish()
 {
     const auto now = monotonicNow();
-    m_upstream.reset();
-    m_parts.crashes->ended(m_options.generation);
-    if (m_callerGone) {
+    m_engineStream.reset();
+    m_parts.crashes->runEnded(m_options.generation);
+    if (m_isCallerGone) {
         // The engine goes on, so that the caller can come back at any gateway.
         record(EventKind::StreamCallerLost, m_session.target(), absl::StrCat("after ", m_session.producedTokens(), " tokens"));
     }
-    if (!m_placed) {
+    if (!m_isPlaced) {
         m_parts.fleet->abandoned(m_options.generation, now);
-    } else if (m_callerGone) {
+    } else if (m_isCallerGone) {
         m_parts.fleet->generationFailed(m_options.generation, FailureReason::Cancelled, now);
     } else {
         m_parts.fleet->generationFinished(m_options.generation, now);
--- a/Libraries/LibGateway/GenerationStream.h
+++ b/Libraries/LibGateway/GenerationStream.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include <LibGateway/EngineStream.h>
 #include <LibGateway/GenerationRequest.h>
-#include <LibGateway/UpstreamStream.h>
 #include <LibGeneration/GenerationSession.h>
 
 namespace Jujube
@@ -38,48 +38,48 @@
     void perform(const SessionAction::Wait &action);
     void perform(const SessionAction::ReportLost &action);
 
-    void noteReached();
-    void readUpstream();
-    void takeBytes(const std::string &bytes);
+    void markRequestReceived();
+    void readEngineStream();
+    void processBytes(const std::string &bytes);
     void waitForTarget();
     // Keeps suspects of crashes apart, or refuses the request. Returns nothing if it may be placed.
-    std::optional<GenerationActions> checkSuspicion(MonotonicTime now, std::set<std::string> &excluded);
+    std::optional<GenerationActions> checkCrashSuspicion(MonotonicTime now, std::set<std::string> &excluded);
     GenerationActions placeNow(const std::set<std::string> &excluded, MonotonicTime now);
-    void openUpstream(HttpCall call);
+    void openEngineStream(HttpCall call);
     PlacementRequest placementRequest(const std::set<std::string> &excluded) const;
     HttpCall generateCall(const std::string &address, const SessionAction::Generate &action) const;
     Cursor cursorAt(int32_t nextOffset, uint64_t checksum) const;
 
     // Opens the caller's stream if it is not open. Its first bytes are an event id, so that a caller that loses the connection can come back.
-    bool beginAnswer();
+    bool beginResponse();
     bool flush();
-    bool keepAlive();
-    void settle();
+    bool sendKeepAlive();
+    void finish();
     void record(EventKind kind, const std::string &target = {}, std::string detail = {}) const;
 
     Options m_options;
     GatewayParts &m_parts;
     HttpResponder &m_responder;
     GenerationSession m_session;
-    std::shared_ptr<UpstreamStream> m_upstream;
+    std::shared_ptr<EngineStream> m_engineStream;
     // Actions that follow from an action, in order.
-    GenerationActions m_pending;
+    GenerationActions m_pendingActions;
     std::optional<MonotonicTime> m_waitUntil;
     const uint64_t m_fingerprint;
     uint64_t m_targetIncarnation = 0;
     // Whether the present target has received the request.
-    bool m_hasReached = false;
+    bool m_isRequestReceived = false;
     bool m_isSuspect = false;
     // A suspect is not placed again before this time.
     MonotonicTime m_isolatedUntil;
     MonotonicTime m_acceptedAt;
-    MonotonicTime m_lastWrite;
-    std::optional<MonotonicTime> m_lastToken;
+    MonotonicTime m_lastWriteAt;
+    std::optional<MonotonicTime> m_lastTokenAt;
     std::string m_output;
     int64_t m_unreportedTokens = 0;
-    bool m_placed = false;
-    bool m_answerBegun = false;
-    bool m_callerGone = false;
+    bool m_isPlaced = false;
+    bool m_isResponseBegun = false;
+    bool m_isCallerGone = false;
 };
 
 } // namespace Jujube
--- a/Libraries/LibGateway/OutcomeRecorder.cpp
+++ b/Libraries/LibGateway/OutcomeRecorder.cpp
@@ -12,8 +12,8 @@
 {
 
 constexpr size_t MaxOutcomes = 10'000;
-constexpr auto FirstPause = 200ms;
-constexpr auto LongestPause = 5000ms;
+constexpr auto FirstRetryDelay = 200ms;
+constexpr auto MaxRetryDelay = 5000ms;
 
 } // namespace
 
@@ -54,7 +54,7 @@
 
 void OutcomeRecorder::run()
 {
-    std::chrono::milliseconds pause = FirstPause;
+    std::chrono::milliseconds delay = FirstRetryDelay;
     std::unique_lock lock(m_mutex);
     while (!m_stopping) {
         if (m_outcomes.empty()) {
@@ -63,16 +63,16 @@
         }
         const auto outcome = m_outcomes.front();
         lock.unlock();
-        const bool settled = outcome.releaseNonce.empty() ? tryRecord(outcome) : tryRelease(outcome);
+        const bool isDone = outcome.releaseNonce.empty() ? tryRecord(outcome) : tryRelease(outcome);
         lock.lock();
-        if (settled) {
+        if (isDone) {
             m_outcomes.pop_front();
-            pause = FirstPause;
+            delay = FirstRetryDelay;
             m_changed.notify_all();
             continue;
         }
-        m_changed.wait_for(lock, pause, [this] { return m_stopping; });
-        pause = std::min<std::chrono::milliseconds>(pause * 2, LongestPause);
+        m_changed.wait_for(lock, delay, [this] { return m_stopping; });
+        delay = std::min<std::chrono::milliseconds>(delay * 2, MaxRetryDelay);
     }
 }
 
--- a/Libraries/LibGateway/OwnSlots.cpp
+++ b/Libraries/LibGateway/OwnSlots.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-int usableSlots(const PermitRow &row, const PermitHolder &self)
+int countUsableSlots(const PermitRow &row, const PermitHolder &self)
 {
     return countOwn(row, self, SlotState::Granted);
 }
@@ -49,7 +49,7 @@
     int idle = std::max(0, held - demand.ownRunning);
     // Recalled slots go back first.
     idle -= removeOwn(revised, demand.self, SlotState::Recalled, idle);
-    if (!demand.wanted) {
+    if (!demand.needsSlot) {
         removeOwn(revised, demand.self, SlotState::Granted, idle);
         removeOwn(revised, demand.self, SlotState::Asked, asked);
     } else if (asked == 0 && held <= demand.ownRunning) {
--- a/Libraries/LibGateway/PermitKeeper.cpp
+++ b/Libraries/LibGateway/PermitManager.cpp
@@ -1,48 +1,48 @@
-#include <LibGateway/PermitKeeper.h>
+#include <LibGateway/PermitManager.h>
 
 #include <LibCore/Identifier.h>
 
 namespace Jujube
 {
 
-PermitKeeper::PermitKeeper(Options options)
+PermitManager::PermitManager(Options options)
     : m_options(std::move(options))
 {
     m_thread = std::thread([this] { run(); });
 }
 
-PermitKeeper::~PermitKeeper()
+PermitManager::~PermitManager()
 {
     {
         const std::lock_guard lock(m_mutex);
         m_stopping = true;
     }
-    m_stop.notify_all();
+    m_stopSignal.notify_all();
     m_thread.join();
 }
 
-void PermitKeeper::run()
+void PermitManager::run()
 {
     std::unique_lock lock(m_mutex);
     while (!m_stopping) {
         lock.unlock();
-        round();
+        revisePermits();
         lock.lock();
-        m_stop.wait_for(lock, m_options.interval, [this] { return m_stopping; });
+        m_stopSignal.wait_for(lock, m_options.interval, [this] { return m_stopping; });
     }
 }
 
-void PermitKeeper::round()
+void PermitManager::revisePermits()
 {
-    for (const auto &target : m_options.fleet->coldTargets(monotonicNow())) {
+    for (const auto &target : m_options.fleet->engineColdStates(monotonicNow())) {
         // A warm target concerns this gateway only as long as it holds slots there.
-        if (target.cold || m_slots.contains(target.name)) {
-            revise(target);
+        if (target.mayBeCold || m_slots.contains(target.name)) {
+            revisePermit(target);
         }
     }
 }
 
-void PermitKeeper::revise(const ColdTarget &target)
+void PermitManager::revisePermit(const EngineColdState &target)
 {
     const auto key = permitKey(target.address);
     const auto read = m_options.table->get(key);
@@ -59,9 +59,9 @@
         row = *parsed;
     }
     // Slots are given up before the row says so: the fleet keeper must not use one that another gateway may get.
-    const OwnSlotDemand demand {.self = m_options.self, .newSlotId = randomIdentifier(), .wanted = target.cold, .ownRunning = target.ownRunning};
+    const OwnSlotDemand demand {.self = m_options.self, .newSlotId = randomIdentifier(), .needsSlot = target.mayBeCold, .ownRunning = target.ownRunning};
     const auto revised = reviseOwnSlots(row, demand);
-    use(target.name, usableSlots(revised.value_or(row), m_options.self));
+    applyUsableSlots(target.name, countUsableSlots(revised.value_or(row), m_options.self));
     if (!revised) {
         return;
     }
@@ -73,7 +73,7 @@
     // Whether the write took effect is seen in the next round's read.
 }
 
-void PermitKeeper::use(const std::string &target, int slots)
+void PermitManager::applyUsableSlots(const std::string &target, int slots)
 {
     const int before = m_slots.contains(target) ? m_slots.at(target) : 0;
     if (slots == before) {
--- a/Libraries/LibGateway/RequestContext.cpp
+++ b/Libraries/LibGateway/RequestContext.cpp
@@ -6,7 +6,7 @@
 namespace Jujube
 {
 
-absl::StatusOr<Caller> authenticate(const HttpRequest &request, const DocumentKeeper &documents)
+absl::StatusOr<Caller> authenticate(const HttpRequest &request, const DocumentUpdater &documents)
 {
     constexpr std::string_view Scheme = "Bearer ";
     const auto document = documents.current();
@@ -24,7 +24,7 @@
     return Caller {.workspace = found->second, .document = document};
 }
 
-void refuse(const GatewayParts &parts, HttpResponder &responder, const Problem &problem, const std::string &request)
+void respondWithProblem(const GatewayParts &parts, HttpResponder &responder, const Problem &problem, const std::string &request)
 {
     const std::string name(errorKindInfo(problem.kind).name);
     parts.metrics->count("jujube_refusals_total", absl::StrCat("kind=\"", name, "\""));
--- a/Libraries/LibGateway/RequestContext.h
+++ b/Libraries/LibGateway/RequestContext.h
@@ -2,9 +2,9 @@
 
 #include <atomic>
 #include <LibEvents/EventLog.h>
-#include <LibGateway/CrashWatch.h>
-#include <LibGateway/DocumentKeeper.h>
-#include <LibGateway/FleetKeeper.h>
+#include <LibGateway/CrashTracker.h>
+#include <LibGateway/DocumentUpdater.h>
+#include <LibGateway/FleetManager.h>
 #include <LibGateway/GatewayOptions.h>
 #include <LibGeneration/Cursor.h>
 #include <LibHttp/HttpClient.h>
@@ -22,10 +22,10 @@
     std::unique_ptr<Metrics> metrics;
     std::unique_ptr<HttpClient> http;
     std::unique_ptr<CursorCodec> cursors;
-    std::unique_ptr<CrashWatch> crashes;
+    std::unique_ptr<CrashTracker> crashes;
     std::unique_ptr<Membership> membership;
-    std::unique_ptr<FleetKeeper> fleet;
-    std::unique_ptr<DocumentKeeper> documents;
+    std::unique_ptr<FleetManager> fleet;
+    std::unique_ptr<DocumentUpdater> documents;
     // Live gateways including this one, as of the latest document round. Copying the members for each request would cost 390 copies at full size.
     std::atomic<int> liveGateways {1};
     // A graceful shutdown has begun.
@@ -73,9 +73,9 @@
 };
 
 // Finds the workspace of a request's key. Errors: ErrorKind::Unauthorized; ErrorKind::PlatformUnavailable while there is no document.
-absl::StatusOr<Caller> authenticate(const HttpRequest &request, const DocumentKeeper &documents);
+absl::StatusOr<Caller> authenticate(const HttpRequest &request, const DocumentUpdater &documents);
 
 // Answers with a problem, and counts and records the refusal.
-void refuse(const GatewayParts &parts, HttpResponder &responder, const Problem &problem, const std::string &request);
+void respondWithProblem(const GatewayParts &parts, HttpResponder &responder, const Problem &problem, const std::string &request);
 
 } // namespace Jujube
--- a/Libraries/LibGateway/StatusCache.h
+++ b/Libraries/LibGateway/ResponseCache.h
@@ -11,7 +11,7 @@
 
 // Answers of repeatable reads that are fresh enough to be given again. Answers are kept per workspace, so that none reaches another one. Safe to use from
 // several threads.
-class StatusCache
+class ResponseCache
 {
 public:
     struct Key {
@@ -23,24 +23,24 @@
         auto operator<=>(const Key &) const = default;
     };
 
-    struct Answer {
+    struct CachedResponse {
         int status = 0;
         std::string contentType;
         std::string body;
     };
 
-    explicit StatusCache(size_t capacity = 10'000);
+    explicit ResponseCache(size_t capacity = 10'000);
 
     // The answer if it was stored at most `fresh` ago.
-    std::optional<Answer> find(const Key &key, std::chrono::milliseconds fresh, MonotonicTime now) const;
+    std::optional<CachedResponse> find(const Key &key, std::chrono::milliseconds maxAge, MonotonicTime now) const;
 
-    // Stores an answer. `askedAt` is the time before the target was asked: the answer may be as old as that.
-    void store(const Key &key, Answer answer, MonotonicTime askedAt);
+    // Stores an answer. `requestedAt` is the time before the target was asked: the answer may be as old as that.
+    void store(const Key &key, CachedResponse response, MonotonicTime requestedAt);
 
 private:
     struct Entry {
-        Answer answer;
-        MonotonicTime askedAt;
+        CachedResponse response;
+        MonotonicTime requestedAt;
     };
 
     const size_t m_capacity;
--- a/Libraries/LibGateway/ServiceHandler.cpp
+++ b/Libraries/LibGateway/ServiceHandler.cpp
@@ -21,19 +21,19 @@
 constexpr int MaxTargetsTried = 3;
 constexpr size_t MaxIdempotencyKeyBytes = 255;
 constexpr size_t MaxIdBytes = 200;
-constexpr int FirstServerError = 500;
+constexpr int FirstServerErrorStatus = 500;
 
 // Ids become part of a path on the target, so only characters that cannot change the path are allowed.
-bool isPlainId(std::string_view id)
+bool isPathSafeId(std::string_view id)
 {
     const auto plain = [](char c) { return absl::ascii_isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '_' || c == '.' || c == ':'; };
     return id.size() <= MaxIdBytes && id != "." && id != ".." && std::all_of(id.begin(), id.end(), plain);
 }
 
-std::string contentTypeOf(const HttpAnswer &answer)
+std::string contentTypeOf(const HttpAnswer &response)
 {
-    const auto found = answer.headers.find("content-type");
-    return found == answer.headers.end() ? "application/octet-stream" : found->second;
+    const auto found = response.headers.find("content-type");
+    return found == response.headers.end() ? "application/octet-stream" : found->second;
 }
 
 } // namespace
@@ -60,12 +60,12 @@
     if (call == service->second.calls.end()) {
         return makeError(ErrorKind::UnknownService, absl::StrCat("service \"", parts[0], "\" has no call \"", parts[1], "\""));
     }
-    Route route {.service = parts[0], .call = parts[1], .id = parts.size() == PartsWithId ? parts[2] : "", .declared = call->second};
-    if (!isPlainId(route.id)) {
+    Route route {.service = parts[0], .call = parts[1], .id = parts.size() == PartsWithId ? parts[2] : "", .definition = call->second};
+    if (!isPathSafeId(route.id)) {
         return makeError(ErrorKind::InvalidValue, "the id may contain letters, digits, '-', '_', '.' and ':' only");
     }
-    if (request.method != (route.declared.method == CallMethod::Get ? "GET" : "POST")) {
-        return makeError(ErrorKind::MethodNotAllowed, absl::StrCat("this call uses ", std::string(nameOf(route.declared.method))));
+    if (request.method != (route.definition.method == CallMethod::Get ? "GET" : "POST")) {
+        return makeError(ErrorKind::MethodNotAllowed, absl::StrCat("this call uses ", std::string(nameOf(route.definition.method))));
     }
     return route;
 }
@@ -74,16 +74,16 @@
 {
     const auto route = findRoute(request, caller.document->document);
     if (!route.ok()) {
-        refuse(m_parts, responder, Problem::fromStatus(route.status()), {});
+        respondWithProblem(m_parts, responder, Problem::fromStatus(route.status()), {});
         return;
     }
     if (!request.body.empty()) {
         if (const auto json = parseJson(request.body); !json.ok()) {
-            refuse(m_parts, responder, Problem::fromStatus(json.status()), {});
+            respondWithProblem(m_parts, responder, Problem::fromStatus(json.status()), {});
             return;
         }
     }
-    if (route->declared.repeatable || route->declared.method == CallMethod::Get) {
+    if (route->definition.repeatable || route->definition.method == CallMethod::Get) {
         handleRepeatable(request, caller, *route, responder);
     } else {
         handleOneTime(request, caller, *route, responder);
@@ -92,15 +92,15 @@
 
 HttpCall ServiceHandler::makeCall(const HttpRequest &request, const Caller &caller, const Route &route, const std::string &address)
 {
-    const auto path = route.declared.path.empty() ? absl::StrCat("/", route.call) : route.declared.path;
+    const auto path = route.definition.path.empty() ? absl::StrCat("/", route.call) : route.definition.path;
     HttpCall call {
         .method = request.method,
         .url = absl::StrCat("http://", address, path, route.id.empty() ? "" : "/", route.id),
         .headers = {{"Content-Type", "application/json"}, {"Jujube-Workspace", caller.workspace}},
         .body = request.body,
         .connectTimeout = ConnectTimeout,
-        .totalTimeout = route.declared.timeout,
-        .freshConnection = !route.declared.repeatable,
+        .totalTimeout = route.definition.timeout,
+        .freshConnection = !route.definition.repeatable,
     };
     if (const auto key = request.header("idempotency-key"); !key.empty()) {
         call.headers["Idempotency-Key"] = key;
@@ -114,7 +114,7 @@
     const auto requestId = randomIdentifier();
     if (key.empty() || key.size() > MaxIdempotencyKeyBytes) {
         const auto detail = absl::StrCat("a key of 1 to ", MaxIdempotencyKeyBytes, " bytes is required");
-        refuse(m_parts, responder, {.kind = ErrorKind::IdempotencyKeyMissing, .detail = detail}, requestId);
+        respondWithProblem(m_parts, responder, {.kind = ErrorKind::IdempotencyKeyMissing, .detail = detail}, requestId);
         return;
     }
     const auto detail = absl::StrCat(caller.workspace, " ", route.service, "/", route.call);
@@ -130,50 +130,50 @@
     });
     const auto result = runner.run();
     if (const auto *problem = std::get_if<Problem>(&result)) {
-        refuse(m_parts, responder, *problem, requestId);
+        respondWithProblem(m_parts, responder, *problem, requestId);
         return;
     }
-    const auto &answer = std::get<OneTimeAction::Answer>(result);
+    const auto &response = std::get<OneTimeAction::Answer>(result);
     HttpHeaders headers;
-    if (answer.isReplay) {
+    if (response.isReplay) {
         headers["Idempotent-Replayed"] = "true";
     }
-    responder.send(answer.answer.status, answer.answer.contentType, answer.answer.body, headers);
+    responder.send(response.answer.status, response.answer.contentType, response.answer.body, headers);
     m_parts.record({.kind = EventKind::RequestFinished, .request = requestId});
 }
 
 CallAnswer ServiceHandler::sendOnce(const HttpRequest &request, const Caller &caller, const Route &route, const std::string &requestId)
 {
-    std::set<std::string> tried;
+    std::set<std::string> triedTargets;
     for (int i = 0; i < MaxTargetsTried; ++i) {
-        const auto target = m_parts.fleet->chooseServiceTarget(route.service, tried);
+        const auto target = m_parts.fleet->chooseServiceTarget(route.service, triedTargets);
         const auto address = target ? m_parts.fleet->addressOf(*target) : std::nullopt;
         if (!address) {
             break;
         }
         m_parts.record({.kind = EventKind::TargetChosen, .request = requestId, .target = *target});
-        const auto answer = m_parts.http->call(makeCall(request, caller, route, *address));
-        if (answer.end == HttpEnd::Complete) {
-            return {.end = CallEnd::Answered, .status = answer.status, .contentType = contentTypeOf(answer), .body = answer.body};
+        const auto response = m_parts.http->call(makeCall(request, caller, route, *address));
+        if (response.end == HttpEnd::Complete) {
+            return {.end = CallEnd::Answered, .status = response.status, .contentType = contentTypeOf(response), .body = response.body};
         }
-        m_parts.record({.kind = EventKind::TargetLost, .request = requestId, .target = *target, .detail = answer.error});
-        if (answer.end != HttpEnd::NotSent) {
+        m_parts.record({.kind = EventKind::TargetLost, .request = requestId, .target = *target, .detail = response.error});
+        if (response.end != HttpEnd::NotSent) {
             return {.end = CallEnd::Unknown};
         }
         // No byte reached this target, so another one may be tried.
-        tried.insert(*target);
+        triedTargets.insert(*target);
     }
     return {.end = CallEnd::NotSent};
 }
 
 void ServiceHandler::handleRepeatable(const HttpRequest &request, const Caller &caller, const Route &route, HttpResponder &responder)
 {
-    const StatusCache::Key key {.workspace = caller.workspace, .service = route.service, .call = route.call, .id = route.id};
-    const auto fresh = route.declared.fresh;
-    const bool cacheable = request.method == "GET" && fresh.count() > 0;
-    const auto askedAt = monotonicNow();
+    const ResponseCache::Key key {.workspace = caller.workspace, .service = route.service, .call = route.call, .id = route.id};
+    const auto maxCacheAge = route.definition.maxCacheAge;
+    const bool cacheable = request.method == "GET" && maxCacheAge.count() > 0;
+    const auto requestedAt = monotonicNow();
     if (cacheable) {
-        if (const auto cached = m_cache.find(key, fresh, askedAt)) {
+        if (const auto cached = m_cache.find(key, maxCacheAge, requestedAt)) {
             m_parts.metrics->count("jujube_status_cache_hits_total");
             responder.send(cached->status, cached->contentType, cached->body, {{"Jujube-Cache", "hit"}});
             return;
@@ -181,29 +181,29 @@
     }
     const auto result = sendRepeatable(request, caller, route);
     if (const auto *problem = std::get_if<Problem>(&result)) {
-        refuse(m_parts, responder, *problem, {});
+        respondWithProblem(m_parts, responder, *problem, {});
         return;
     }
-    const auto &answer = std::get<HttpAnswer>(result);
-    if (cacheable && answer.isSuccess()) {
-        m_cache.store(key, {.status = answer.status, .contentType = contentTypeOf(answer), .body = answer.body}, askedAt);
+    const auto &response = std::get<HttpAnswer>(result);
+    if (cacheable && response.isSuccess()) {
+        m_cache.store(key, {.status = response.status, .contentType = contentTypeOf(response), .body = response.body}, requestedAt);
     }
-    responder.send(answer.status, contentTypeOf(answer), answer.body);
+    responder.send(response.status, contentTypeOf(response), response.body);
 }
 
 std::variant<HttpAnswer, Problem> ServiceHandler::sendRepeatable(const HttpRequest &request, const Caller &caller, const Route &route)
 {
-    std::set<std::string> tried;
+    std::set<std::string> triedTargets;
     for (int i = 0; i < MaxTargetsTried; ++i) {
-        const auto target = m_parts.fleet->chooseServiceTarget(route.service, tried);
+        const auto target = m_parts.fleet->chooseServiceTarget(route.service, triedTargets);
         const auto address = target ? m_parts.fleet->addressOf(*target) : std::nullopt;
         if (!address) {
             break;
         }
-        tried.insert(*target);
-        auto answer = m_parts.http->call(makeCall(request, caller, route, *address));
-        if (answer.end == HttpEnd::Complete && answer.status < FirstServerError) {
-            return answer;
+        triedTargets.insert(*target);
+        auto response = m_parts.http->call(makeCall(request, caller, route, *address));
+        if (response.end == HttpEnd::Complete && response.status < FirstServerErrorStatus) {
+            return response;
         }
         m_parts.metrics->count("jujube_service_retries_total");
     }
--- a/Libraries/LibGateway/ServiceHandler.h
+++ b/Libraries/LibGateway/ServiceHandler.h
@@ -2,7 +2,7 @@
 
 #include <LibGateway/OneTimeRunner.h>
 #include <LibGateway/RequestContext.h>
-#include <LibGateway/StatusCache.h>
+#include <LibGateway/ResponseCache.h>
 
 namespace Jujube
 {
@@ -26,7 +26,7 @@
         std::string service;
         std::string call;
         std::string id;
-        ServiceCall declared;
+        ServiceCall definition;
     };
 
     static absl::StatusOr<Route> findRoute(const HttpRequest &request, const EnvironmentDocument &document);
@@ -40,7 +40,7 @@
     GatewayParts &m_parts;
     const TableClient m_table;
     OutcomeRecorder m_recorder;
-    StatusCache m_cache;
+    ResponseCache m_cache;
 };
 
 } // namespace Jujube
--- a/Libraries/LibGateway/WorkspaceAdmission.cpp
+++ b/Libraries/LibGateway/WorkspaceAdmission.cpp
@@ -10,40 +10,40 @@
 
 using std::chrono::seconds;
 
-constexpr seconds OpenStreamsRetry {1};
+constexpr seconds OpenStreamsRetryAfter {1};
 
-Problem limited(const char *detail, seconds retryAfter)
+Problem makeRateLimitProblem(const char *detail, seconds retryAfter)
 {
     return {.kind = ErrorKind::RateLimited, .detail = detail, .retryAfter = std::max(retryAfter, seconds(1))};
 }
 
 } // namespace
 
-std::optional<Problem> WorkspaceAdmission::begin(const std::string &workspace, const WorkspaceLimits &limits, int liveGateways, MonotonicTime now)
+std::optional<Problem> WorkspaceAdmission::admit(const std::string &workspace, const WorkspaceLimits &limits, int liveGateways, MonotonicTime now)
 {
     const std::lock_guard lock(m_mutex);
     const int gateways = std::max(1, liveGateways);
     if (limits.openStreams > 0) {
         // Rounded up, so that a small limit does not become zero at every gateway.
         const int share = (static_cast<int>(limits.openStreams) + gateways - 1) / gateways;
-        if (m_open[workspace] >= share) {
-            return limited("the workspace has too many open requests", OpenStreamsRetry);
+        if (m_openRequests[workspace] >= share) {
+            return makeRateLimitProblem("the workspace has too many open requests", OpenStreamsRetryAfter);
         }
     }
     // A second's worth may be used at once.
     const WorkspaceLimit rate {.perSecond = static_cast<double>(limits.requestsPerSecond), .burst = static_cast<double>(limits.requestsPerSecond)};
-    const auto wait = m_requests.take(workspace, rate, 1, gateways, now);
+    const auto wait = m_requestLimiter.take(workspace, rate, 1, gateways, now);
     if (wait > MonotonicTime::duration::zero()) {
-        return limited("the workspace sends too many requests", std::chrono::ceil<seconds>(wait));
+        return makeRateLimitProblem("the workspace sends too many requests", std::chrono::ceil<seconds>(wait));
     }
-    ++m_open[workspace];
+    ++m_openRequests[workspace];
     return std::nullopt;
 }
 
-void WorkspaceAdmission::end(const std::string &workspace)
+void WorkspaceAdmission::release(const std::string &workspace)
 {
     const std::lock_guard lock(m_mutex);
-    --m_open[workspace];
+    --m_openRequests[workspace];
 }
 
 } // namespace Jujube
--- a/Libraries/LibGateway/WorkspaceAdmission.h
+++ b/Libraries/LibGateway/WorkspaceAdmission.h
@@ -15,15 +15,15 @@
 class WorkspaceAdmission
 {
 public:
-    // Admits a request, or says when to come back. An admitted request is counted as open until end().
-    std::optional<Problem> begin(const std::string &workspace, const WorkspaceLimits &limits, int liveGateways, MonotonicTime now);
+    // Admits a request, or says when to come back. An admitted request is counted as open until release().
+    std::optional<Problem> admit(const std::string &workspace, const WorkspaceLimits &limits, int liveGateways, MonotonicTime now);
 
-    void end(const std::string &workspace);
+    void release(const std::string &workspace);
 
 private:
     std::mutex m_mutex;
-    WorkspaceLimiter m_requests;
-    std::map<std::string, int> m_open;
+    WorkspaceLimiter m_requestLimiter;
+    std::map<std::string, int> m_openRequests;
 };
 
 } // namespace Jujube
--- a/Tests/LibEnvironment/FakePlatform.cpp
+++ b/Tests/LibEnvironment/FakePlatform.cpp
@@ -91,7 +91,7 @@
         return;
     }
     const bool written = tryTransaction(parseJson(request.body)->at("writes"));
-    m_down = fault == Fault::Die;
+    m_down = fault == Fault::StopResponding;
     // Without an answer the connection stays silent.
     if (fault == Fault::None) {
         responder.sendJson(written ? 200 : 412, nlohmann::json::object());
--- a/Tests/LibEnvironment/FakePlatform.h
+++ b/Tests/LibEnvironment/FakePlatform.h
@@ -16,11 +16,11 @@
     enum class Fault {
         None,
         // It takes effect, and its answer is lost.
-        LoseAnswer,
+        LoseResponse,
         // It is answered with status 504 and has not taken effect, which the caller cannot know.
         LoseRequest,
         // The platform stops answering altogether, after it took effect.
-        Die,
+        StopResponding,
     };
 
     FakePlatform();
--- a/Tests/LibEnvironment/TestDocumentParser.cpp
+++ b/Tests/LibEnvironment/TestDocumentParser.cpp
@@ -18,7 +18,7 @@
 using testing::StartsWith;
 
 // The mistakes of a document, one per line; empty if it is valid.
-std::string mistakesOf(const std::string &yaml)
+std::string errorsOf(const std::string &yaml)
 {
     const auto document = parseEnvironmentDocument(yaml);
     return document.ok() ? "" : std::string(document.status().message());
@@ -48,7 +48,7 @@
     const auto &calls = document->services.at("order-desk").calls;
     EXPECT_FALSE(calls.at("capture").repeatable);
     EXPECT_EQ(calls.at("status").method, CallMethod::Get);
-    EXPECT_EQ(calls.at("status").fresh, std::chrono::seconds(2));
+    EXPECT_EQ(calls.at("status").maxCacheAge, std::chrono::seconds(2));
     EXPECT_EQ(document->targets.size(), 5);
     EXPECT_EQ(document->targets.at("engine-4").fencing, Fencing::Ignored);
     EXPECT_EQ(document->targets.at("desk-1").service, "order-desk");
@@ -67,7 +67,7 @@
                              "    data_centre: multan\n"
                              "    models: [naqsh]\n"
                              "    memory_tokens: -1\n";
-    EXPECT_EQ(mistakesOf(yaml),
+    EXPECT_EQ(errorsOf(yaml),
               "1:14: environment: must be a name from a-z, 0-9, '.', '_' and '-'\n"
               "3:19: data_centres.lahore.state: \"gone\" is not one of in, out\n"
               "4:1: modles: unknown key; the nearest known key is \"models\"\n"
@@ -83,7 +83,7 @@
     struct Row {
         std::string from;
         std::string to;
-        std::string mistake;
+        std::string error;
     };
     const std::string hash = sha256Hex("demo-key-trial");
     const std::vector<Row> rows {
@@ -116,31 +116,31 @@
         {"priorities: {draft: 8, suggestion: 2}", "priorities: 8", "must be a map of fields"},
     };
     for (const auto &row : rows) {
-        EXPECT_THAT(mistakesOf(demoYamlWith(row.from, row.to)), HasSubstr(row.mistake)) << row.to;
+        EXPECT_THAT(errorsOf(demoYamlWith(row.from, row.to)), HasSubstr(row.error)) << row.to;
     }
 }
 
 // Guards against a crash, unbounded recursion or unbounded memory on hostile input.
 TEST(DocumentParser, RejectsHostileInput)
 {
-    EXPECT_THAT(mistakesOf(repeat("[", 100000)), HasSubstr("nested more than"));
-    EXPECT_THAT(mistakesOf(repeat("{a: ", 100000)), HasSubstr("nested more than"));
-    EXPECT_THAT(mistakesOf(repeat("- ", 100000)), HasSubstr("nested more than"));
-    EXPECT_THAT(mistakesOf("a: &x [1]\nb: *x\n"), StartsWith("1:4: anchors are not allowed"));
-    EXPECT_THAT(mistakesOf("a: !!binary aGk=\n"), HasSubstr("tags are not allowed"));
-    EXPECT_THAT(mistakesOf("environment: a\n---\nenvironment: b\n"), StartsWith("2:1: a second document"));
-    EXPECT_THAT(mistakesOf("environment: " + std::string(100000, 'x')), HasSubstr("over the limit"));
-    EXPECT_THAT(mistakesOf(std::string(MaxDocumentBytes + 1, ' ')), HasSubstr("the limit is"));
-    EXPECT_THAT(mistakesOf(repeat("- \n", 320000)), HasSubstr("more than 300000 values"));
-    EXPECT_THAT(mistakesOf("? [a]\n: b\n"), HasSubstr("a key must be a text"));
-    EXPECT_THAT(mistakesOf("a: b\nc: \x01\n"), StartsWith("2:4: the text has a control character"));
-    EXPECT_THAT(mistakesOf("a: 'b\n"), HasSubstr("1:"));
-    EXPECT_THAT(mistakesOf(""), HasSubstr("\"environment\" is required"));
+    EXPECT_THAT(errorsOf(repeat("[", 100000)), HasSubstr("nested more than"));
+    EXPECT_THAT(errorsOf(repeat("{a: ", 100000)), HasSubstr("nested more than"));
+    EXPECT_THAT(errorsOf(repeat("- ", 100000)), HasSubstr("nested more than"));
+    EXPECT_THAT(errorsOf("a: &x [1]\nb: *x\n"), StartsWith("1:4: anchors are not allowed"));
+    EXPECT_THAT(errorsOf("a: !!binary aGk=\n"), HasSubstr("tags are not allowed"));
+    EXPECT_THAT(errorsOf("environment: a\n---\nenvironment: b\n"), StartsWith("2:1: a second document"));
+    EXPECT_THAT(errorsOf("environment: " + std::string(100000, 'x')), HasSubstr("over the limit"));
+    EXPECT_THAT(errorsOf(std::string(MaxDocumentBytes + 1, ' ')), HasSubstr("the limit is"));
+    EXPECT_THAT(errorsOf(repeat("- \n", 320000)), HasSubstr("more than 300000 values"));
+    EXPECT_THAT(errorsOf("? [a]\n: b\n"), HasSubstr("a key must be a text"));
+    EXPECT_THAT(errorsOf("a: b\nc: \x01\n"), StartsWith("2:4: the text has a control character"));
+    EXPECT_THAT(errorsOf("a: 'b\n"), HasSubstr("1:"));
+    EXPECT_THAT(errorsOf(""), HasSubstr("\"environment\" is required"));
     std::string manyKeys;
     for (int i = 0; i < 50000; ++i) {
         absl::StrAppend(&manyKeys, "k", i, ": 1\n");
     }
-    EXPECT_THAT(mistakesOf(manyKeys), HasSubstr("has more than 64 fields"));
+    EXPECT_THAT(errorsOf(manyKeys), HasSubstr("has more than 64 fields"));
 }
 
 // Guards against invalid UTF-8 being accepted, or reported at the wrong place.
--- a/Tests/LibEnvironment/TestJujubectl.cpp
+++ b/Tests/LibEnvironment/TestJujubectl.cpp
@@ -18,7 +18,7 @@
 using Fault = FakePlatform::Fault;
 
 // What a command printed, and its exit code.
-struct Outcome {
+struct CommandResult {
     ExitCode code = ExitCode::Failed;
     std::string out;
     std::string error;
@@ -27,7 +27,7 @@
 class JujubectlTest : public testing::Test
 {
 protected:
-    Outcome run(std::vector<std::string> words)
+    CommandResult run(std::vector<std::string> words)
     {
         words.insert(words.begin(), {"jujubectl", "--platform=" + m_platform.address(), "--author=amina", "--wait-s=0", "--timeout-ms=2000"});
         std::vector<const char *> argv;
@@ -59,7 +59,7 @@
 
     FakePlatform m_platform;
     const std::string m_demo = std::string(JUJUBE_SOURCE_DIRECTORY) + "/examples/demo.yaml";
-    const std::string m_outText = demoYamlWith("state: in, region: lahore", "state: out, region: lahore");
+    const std::string m_lahoreOutYaml = demoYamlWith("state: in, region: lahore", "state: out, region: lahore");
     int64_t m_wallMs = 0;
 };
 
@@ -102,7 +102,7 @@
     EXPECT_EQ(run({"apply", m_demo}).code, ExitCode::Done);
     EXPECT_EQ(head("demo").version, 1);
 
-    const auto out = writeFile("out.yaml", m_outText);
+    const auto out = writeFile("out.yaml", m_lahoreOutYaml);
     EXPECT_THAT(run({"diff", out}).out, HasSubstr("~ data_centres.lahore.state: in -> out"));
     EXPECT_THAT(run({"apply", out, "--base-version=1"}).out, HasSubstr("~ data_centres.lahore.state: in -> out"));
     EXPECT_EQ(head("demo").version, 2);
@@ -115,7 +115,7 @@
 TEST_F(JujubectlTest, TellsTheLoserOfARaceTheDifference)
 {
     run({"apply", m_demo});
-    const auto out = writeFile("out.yaml", m_outText);
+    const auto out = writeFile("out.yaml", m_lahoreOutYaml);
     const auto other = writeFile("other.yaml", demoYamlWith("retry_percent: 10", "retry_percent: 5"));
     m_platform.beforeTransaction([this, other] { EXPECT_EQ(run({"apply", other}).code, ExitCode::Done); });
     const auto loser = run({"apply", out});
@@ -134,12 +134,12 @@
 // Guards against a lost answer being reported as a failure or leading to a second version.
 TEST_F(JujubectlTest, ResolvesALostAnswer)
 {
-    m_platform.setFaults({Fault::LoseAnswer});
+    m_platform.setFaults({Fault::LoseResponse});
     EXPECT_EQ(run({"apply", m_demo}).code, ExitCode::Done);
     EXPECT_EQ(head("demo").version, 1);
 
-    const auto out = writeFile("out.yaml", m_outText);
-    m_platform.setFaults({Fault::LoseRequest, Fault::LoseRequest, Fault::LoseAnswer});
+    const auto out = writeFile("out.yaml", m_lahoreOutYaml);
+    m_platform.setFaults({Fault::LoseRequest, Fault::LoseRequest, Fault::LoseResponse});
     EXPECT_EQ(run({"apply", out}).code, ExitCode::Done);
     EXPECT_EQ(head("demo").version, 2);
 
@@ -157,7 +157,7 @@
     m_platform.setDown(true);
     EXPECT_EQ(run({"apply", m_demo}).code, ExitCode::PlatformUnavailable);
     m_platform.setDown(false);
-    m_platform.setFaults({Fault::Die});
+    m_platform.setFaults({Fault::StopResponding});
     const auto unknown = run({"apply", m_demo});
     EXPECT_EQ(unknown.code, ExitCode::OutcomeUnknown);
     EXPECT_THAT(unknown.error, HasSubstr("jujubectl history demo"));
@@ -170,14 +170,14 @@
 {
     EXPECT_EQ(run({"promote", "trial", "production"}).code, ExitCode::NotFound);
     run({"apply", m_demo, "--environment=trial"});
-    const auto tried = head("trial");
+    const auto trialHead = head("trial");
     EXPECT_EQ(run({"promote", "trial", "production", "--digest=" + sha256Hex("another")}).code, ExitCode::VersionConflict);
     EXPECT_EQ(run({"promote", "trial", "production", "--base-version=3"}).code, ExitCode::VersionConflict);
-    EXPECT_EQ(run({"promote", "trial", "production", "--digest=" + tried.digest}).code, ExitCode::Done);
+    EXPECT_EQ(run({"promote", "trial", "production", "--digest=" + trialHead.digest}).code, ExitCode::Done);
     EXPECT_EQ(head("production").version, 1);
-    EXPECT_EQ(head("production").digest, tried.digest);
+    EXPECT_EQ(head("production").digest, trialHead.digest);
 
-    const auto out = writeFile("out.yaml", m_outText);
+    const auto out = writeFile("out.yaml", m_lahoreOutYaml);
     run({"apply", out, "--environment=trial"});
     m_platform.objects[head("trial").object] += "#";
     EXPECT_EQ(run({"promote", "trial", "production"}).code, ExitCode::Failed);
--- a/Tests/LibGateway/TestOwnSlots.cpp
+++ b/Tests/LibGateway/TestOwnSlots.cpp
@@ -21,18 +21,18 @@
 // Guards against a slot that is used before it is granted, after it was recalled, or although an earlier process under the same name holds it.
 TEST(OwnSlots, OnlyOwnGrantedSlotsAreUsable)
 {
-    EXPECT_EQ(usableSlots(rowWith(Self, SlotState::Granted), Self), 1);
-    EXPECT_EQ(usableSlots(rowWith(Self, SlotState::Asked), Self), 0);
-    EXPECT_EQ(usableSlots(rowWith(Self, SlotState::Recalled), Self), 0);
-    EXPECT_EQ(usableSlots(rowWith(Earlier, SlotState::Granted), Self), 0);
+    EXPECT_EQ(countUsableSlots(rowWith(Self, SlotState::Granted), Self), 1);
+    EXPECT_EQ(countUsableSlots(rowWith(Self, SlotState::Asked), Self), 0);
+    EXPECT_EQ(countUsableSlots(rowWith(Self, SlotState::Recalled), Self), 0);
+    EXPECT_EQ(countUsableSlots(rowWith(Earlier, SlotState::Granted), Self), 0);
 }
 
 // Guards against a slot that is returned while its stream still runs, which would let another gateway exceed the limit.
 TEST(OwnSlots, KeepsSlotsOfRunningStreams)
 {
     for (const auto state : {SlotState::Granted, SlotState::Recalled}) {
-        EXPECT_FALSE(reviseOwnSlots(rowWith(Self, state), {.self = Self, .newSlotId = "n", .wanted = false, .ownRunning = 1}).has_value());
-        const auto revised = reviseOwnSlots(rowWith(Self, state), {.self = Self, .newSlotId = "n", .wanted = false, .ownRunning = 0});
+        EXPECT_FALSE(reviseOwnSlots(rowWith(Self, state), {.self = Self, .newSlotId = "n", .needsSlot = false, .ownRunning = 1}).has_value());
+        const auto revised = reviseOwnSlots(rowWith(Self, state), {.self = Self, .newSlotId = "n", .needsSlot = false, .ownRunning = 0});
         ASSERT_TRUE(revised.has_value());
         EXPECT_TRUE(revised->slots.empty());
     }
@@ -41,7 +41,7 @@
 // Guards against a gateway that asks for more slots than it can use, and against slots of an earlier process being taken away.
 TEST(OwnSlots, AsksForOneSlotAtATime)
 {
-    const OwnSlotDemand demand {.self = Self, .newSlotId = "n", .wanted = true, .ownRunning = 0};
+    const OwnSlotDemand demand {.self = Self, .newSlotId = "n", .needsSlot = true, .ownRunning = 0};
     const auto asked = reviseOwnSlots({}, demand);
     ASSERT_TRUE(asked.has_value());
     EXPECT_EQ(asked->slots.size(), 1);
