--- a/Libraries/LibGateway/CrashTracker.cpp
+++ b/Libraries/LibGateway/CrashTracker.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// The same at every gateway for one incarnation of a target.
+// All gateways compute the same id for one incarnation of a target.
 int64_t crashId(const std::string &target, uint64_t incarnation)
 {
     return static_cast<int64_t>(XXH3_64bits_withSeed(target.data(), target.size(), incarnation));
@@ -96,7 +96,7 @@
                       .incarnation = 0,
                       .age = std::chrono::duration_cast<std::chrono::milliseconds>(now - report.at),
                       .members = report.fingerprints,
-                      // One more than named where the list was cut off.
+                      // A truncated list stands for at least one more request than it names.
                       .running = report.truncated ? members + 1 : members},
                      now);
 }
--- a/Libraries/LibGateway/CrashTracker.h
+++ b/Libraries/LibGateway/CrashTracker.h
@@ -11,8 +11,7 @@
 namespace Jujube
 {
 
-// Knows which of this gateway's generations run on which target, and what crashes say about them (docs/design.md, section 9). Safe to use from several
-// threads.
+// Tracks which target runs each generation of this gateway, and which requests are crash suspects (docs/design.md, section 9). Thread-safe.
 class CrashTracker
 {
 public:
@@ -26,18 +25,18 @@
 
     CrashVerdict verdict(uint64_t fingerprint, MonotonicTime now) const;
 
-    // Targets on which other suspects of this gateway run. Suspects are kept apart, so that the next crash tells them apart.
+    // Targets that run crash suspects of this gateway. Each suspect runs on a target of its own, so that the next crash shows which of them causes it.
     std::set<std::string> targetsOfSuspects() const;
 
     void runStarted(const std::string &generation, uint64_t fingerprint, const std::string &target, bool isSuspect);
-    // The target has received the request. Before that, its death has nothing to do with the request.
+    // The target has received the request. A crash before that cannot be caused by the request.
     void requestReceived(const std::string &generation);
     void runEnded(const std::string &generation);
 
-    // A target died while it ran generations of this gateway.
+    // A target crashed while it ran generations of this gateway.
     void targetCrashed(const std::string &target, uint64_t incarnation, MonotonicTime now);
 
-    // All reports known to the membership.
+    // Merges all crash reports that the membership has received.
     void addReports(const std::vector<CrashReport> &reports, MonotonicTime now);
 
 private:
--- a/Libraries/LibGateway/DocumentInForce.h
+++ b/Libraries/LibGateway/DocumentInForce.h
@@ -7,13 +7,13 @@
 namespace Jujube
 {
 
-// The environment document that a gateway acts on, with what is derived from it.
+// The environment document in force on a gateway, with values derived from it.
 struct DocumentInForce {
     int64_t version = 0;
     std::string digest;
     std::string bytes;
     EnvironmentDocument document;
-    // Names of workspaces by the SHA-256 of their keys.
+    // Workspace names by the SHA-256 of the workspace keys.
     std::map<std::string, std::string, std::less<>> workspaceByKeyHash;
 };
 
--- a/Libraries/LibGateway/DocumentUpdater.cpp
+++ b/Libraries/LibGateway/DocumentUpdater.cpp
@@ -13,7 +13,7 @@
 
 constexpr auto PeerConnectTimeout = 500ms;
 constexpr auto PeerTimeout = 2000ms;
-// Reads are spread by up to this share of the interval, so that the gateways do not read at the same moment.
+// Upper limit of the jitter in percent of the interval. Jitter keeps the gateways from reading at the same time.
 constexpr int JitterPercent = 20;
 constexpr int Percent = 100;
 
--- a/Libraries/LibGateway/DocumentUpdater.h
+++ b/Libraries/LibGateway/DocumentUpdater.h
@@ -16,21 +16,22 @@
 namespace Jujube
 {
 
-// Keeps the environment document of a gateway up to date: reads the head from the table service about once a second, and at once when a peer has a newer
-// version; falls back to the peer's copy. Has a thread of its own, so that a slow platform delays nobody else.
+// Keeps the environment document of a gateway up to date. Reads the document head from the table service about once a second, and at once when a peer has a
+// newer version. If the table service does not respond, the document is fetched from a peer. Runs on its own thread, so that a slow platform delays no other
+// part of the gateway.
 class DocumentUpdater
 {
 public:
-    // A peer that is in contact, for telling a platform outage from isolation.
+    // A peer from which heartbeats arrive, used to distinguish a platform outage from the isolation of this gateway.
     struct PeerContact {
         std::string name;
-        // For HTTP, "address:port".
+        // HTTP address, "address:port".
         std::string address;
         std::chrono::milliseconds age {0};
         uint64_t documentVersion = 0;
     };
 
-    // What the membership knows.
+    // The state of the membership at one time.
     struct PeerSnapshot {
         std::set<std::string> members;
         std::vector<PeerContact> contacts;
@@ -46,9 +47,9 @@
         std::chrono::milliseconds interval {1000};
         EventLog *events = nullptr;
         std::function<PeerSnapshot()> peers;
-        // Called on the keeper's thread after a newer document is in force.
+        // Called on the updater's thread when a newer document comes into force.
         std::function<void(const std::shared_ptr<const DocumentInForce> &)> onInForce;
-        // Called on the keeper's thread after each round, with the time of the last read that the table service answered.
+        // Called on the updater's thread after each update. `platformAt` is the time at which the latest successful read of the table service was sent.
         std::function<void(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, std::optional<MonotonicTime> platformAt)> onUpdateFinished;
     };
 
@@ -57,10 +58,10 @@
     DocumentUpdater(const DocumentUpdater &) = delete;
     DocumentUpdater &operator=(const DocumentUpdater &) = delete;
 
-    // Null until the first document is in force.
+    // The document in force. Null until there is one.
     std::shared_ptr<const DocumentInForce> current() const;
 
-    // Reads the head as soon as possible.
+    // Starts an update as soon as possible instead of after the interval.
     void wake();
 
     Connectivity connectivity(MonotonicTime now) const;
@@ -70,13 +71,13 @@
         return permissionsOf(connectivity(now));
     }
 
-    // The answer to GET /environment.
+    // The response body for GET /environment.
     nlohmann::json statusJson(MonotonicTime now) const;
 
 private:
     void run();
     void update();
-    // Reads the head and, if it is newer, the bytes. Returns false if the table service does not answer.
+    // Reads the document head and, if its version is newer, the document. Returns false if the table service does not respond.
     bool readTable();
     void fetchFromObjectStore(const DocumentHead &head, MonotonicTime readSentAt);
     void fetchFromPeers(const PeerSnapshot &peers);
--- a/Libraries/LibGateway/EngineStream.cpp
+++ b/Libraries/LibGateway/EngineStream.cpp
@@ -55,7 +55,7 @@
 {
     const auto onBytes = [shared = m_shared](int status, std::string_view bytes) {
         if (status != OkStatus) {
-            // The body of an error is of no use here.
+            // The body of an error response is ignored.
             return true;
         }
         if (shared->ring.tryPush(std::string(bytes))) {
--- a/Libraries/LibGateway/EngineStream.h
+++ b/Libraries/LibGateway/EngineStream.h
@@ -10,8 +10,8 @@
 namespace Jujube
 {
 
-// The stream of one generation from one engine. The client's thread fills a bounded ring with the bytes; the thread that serves the caller empties it. A full
-// ring pauses the connection, so that a caller that reads slowly slows its engine stream down instead of filling memory.
+// The response stream of one generation from one engine. The thread of the HTTP client writes the bytes to a bounded ring buffer, and the thread that serves
+// the caller reads them. Reading from the connection stops while the buffer is full, so that a slow caller slows its engine down instead of filling memory.
 class EngineStream
 {
 public:
@@ -42,7 +42,7 @@
     EngineLineParser m_parser;
 };
 
-// What an answer's end and status mean for a generation.
+// Maps the end and the status of a response to the end of an engine's stream.
 UpstreamEnd engineStreamEndOf(const HttpAnswer &response);
 
 } // namespace Jujube
--- a/Libraries/LibGateway/FleetManager.cpp
+++ b/Libraries/LibGateway/FleetManager.cpp
@@ -15,7 +15,7 @@
 
 constexpr auto LoadConnectTimeout = 500ms;
 constexpr auto LoadTimeout = 1000ms;
-// A load report is on average half an interval old when it is read.
+// Average age of a load report when it is read: half of the interval at which targets make them.
 constexpr auto AssumedReportAge = 100ms;
 
 LoadReport parseLoadReport(const nlohmann::json &json)
@@ -100,7 +100,7 @@
         if (out != wasOut) {
             m_options.events->record({.kind = out ? EventKind::DataCentreOut : EventKind::DataCentreIn, .dataCentre = name}, wallMsNow());
         }
-        // Told on every change only: repeating "in" would begin the return of a data centre anew.
+        // Set only on changes: setting an in-service data centre to "in" again would restart its slow start.
         if (out != wasOut || !wasKnown) {
             fleet.setDataCentreOut(name, out, now);
         }
@@ -176,14 +176,14 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto &fleet = m_policy->fleet();
-    // The own data centre, then the own region, then everything else.
+    // Index 0: this gateway's data centre. 1: its region. 2: all other targets.
     std::array<std::vector<std::string>, 3> byDistance;
     for (const auto &group : fleet.targetsOf(serviceModelName(service))) {
         const auto &dataCentre = fleet.dataCentre(group.dataCentre);
         const size_t distance = dataCentre.name == m_options.dataCentre ? 0 : dataCentre.region == m_options.region ? 1 : 2;
         for (const auto index : group.targets) {
             const auto &target = fleet.target(index);
-            // Plain services have no cold start; only leaving targets and data centres that are out are left alone.
+            // Plain services have no cold start, so only leaving targets and data centres out of service are excluded.
             if (!target.isLeaving() && !dataCentre.out && !excluded.contains(target.description.name)) {
                 byDistance.at(distance).push_back(target.description.name);
             }
--- a/Libraries/LibGateway/FleetManager.h
+++ b/Libraries/LibGateway/FleetManager.h
@@ -15,7 +15,7 @@
 namespace Jujube
 {
 
-// An engine that may be cold, and how many own streams run on it.
+// Whether an engine may be cold, and how many streams of this gateway run on it.
 struct EngineColdState {
     std::string name;
     // "address:port". Permit rows are keyed by it, since the controller knows targets by their addresses.
@@ -24,8 +24,8 @@
     int ownRunning = 0;
 };
 
-// What a gateway knows about the targets, and its placement policy. Reads the targets' load and the VM list on a thread of its own. Safe to use from
-// several threads: the policy is called under one lock.
+// Holds the state of the targets and the placement policy of a gateway. Reads the load of the targets and the VM list on its own thread. Thread-safe: one
+// mutex serializes the calls of the policy.
 class FleetManager
 {
 public:
@@ -39,7 +39,7 @@
         HttpClient *http = nullptr;
         EventLog *events = nullptr;
         Metrics *metrics = nullptr;
-        // Called on the keeper's thread with each VM list.
+        // Called on the manager's thread with each VM list that was read.
         std::function<void(const std::vector<Vm> &)> onVmList;
     };
 
@@ -48,10 +48,10 @@
     FleetManager(const FleetManager &) = delete;
     FleetManager &operator=(const FleetManager &) = delete;
 
-    // Takes over the targets and data centres of a document.
+    // Updates the targets and data centres from a document.
     void apply(const std::shared_ptr<const DocumentInForce> &document, MonotonicTime now);
 
-    // Decides about a generation. The own data centre and region are filled in.
+    // Asks the policy for a placement. Sets the data centre and the region of the request to those of this gateway.
     PlacementDecision place(PlacementRequest request, MonotonicTime now);
     void generationStarted(const std::string &id, MonotonicTime now);
     void tokensProduced(const std::string &id, int64_t count, MonotonicTime now);
@@ -60,24 +60,25 @@
     void abandoned(const std::string &id, MonotonicTime now);
     void noteCold(const std::string &target, MonotonicTime now);
 
-    // Waits until the time, or until the policy names the generation as ready for another decision.
+    // Waits until the given time, or until the policy reports that the generation should be placed again.
     void waitUntilReady(const std::string &id, MonotonicTime until);
 
-    // A usable target of a plain service, the own data centre first, or nothing.
+    // Chooses a usable target of a plain service, by round robin among the nearest ones: first this gateway's data centre, then its region, then all others.
+    // Returns nothing if there is no usable target.
     std::optional<std::string> chooseServiceTarget(const std::string &service, const std::set<std::string> &excluded);
 
-    // The incarnation of a target by its last load report, and whether it said that it is leaving. Zero if it has not reported.
+    // The incarnation of a target in its latest load report. Zero if there is no report.
     uint64_t incarnationOf(const std::string &target) const;
     bool isLeaving(const std::string &target) const;
 
-    // All engines that may get work, for the permits of cold ones.
+    // The state of all engines, used to request permits for cold ones.
     std::vector<EngineColdState> engineColdStates(MonotonicTime now) const;
     void setColdPermits(const std::string &target, int permits);
 
-    // Whether at least one target has reported its load, or there is none.
+    // Whether at least one target has reported its load. Also true if there are no targets.
     bool hasLoadReport() const;
 
-    // The "address:port" of a target of the document in force, or nothing.
+    // The "address:port" of a target in the document in force. Returns nothing if the target is not in the document.
     std::optional<std::string> addressOf(const std::string &target) const;
 
     void setLiveGateways(int count);
@@ -89,7 +90,7 @@
     void finishLoadRead();
     void processLoadResponse(const std::string &target, const HttpAnswer &response, MonotonicTime sentAt);
     void recordChanges(const std::string &target, const LoadReport &before, bool hadReport, const LoadReport &after) const;
-    // Wakes the waiting generations that the policy names. Called with the lock held.
+    // Wakes the waiting generations that the policy reports as ready. Requires that m_mutex is held.
     void wakeReadyGenerations(MonotonicTime now);
 
     const Options m_options;
@@ -103,12 +104,12 @@
     std::mt19937_64 m_random;
     uint64_t m_serviceRoundRobin = 0;
     bool m_stopping = false;
-    // Load reads whose answers still come. They refer to this object.
+    // Load reads in progress. Their callbacks use this object, so the destructor waits for them.
     int m_pendingLoadReads = 0;
     std::thread m_thread;
 };
 
-// The name under which the policy's fleet view lists the targets of a plain service.
+// The model name under which the policy's fleet view lists the targets of a plain service.
 std::string serviceModelName(const std::string &service);
 
 } // namespace Jujube
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view GenerationsPath = "/v1/generations";
 constexpr std::string_view ServicesPrefix = "/v1/services/";
 constexpr std::string_view GatewaysPath = "/v1/gateways";
-// Threads that stay free for operators and short calls while streams occupy the others.
+// Threads kept free for operators and short calls while streams occupy the others.
 constexpr int ReservedThreads = 8;
 
 void logEvent(const Event &event)
@@ -47,7 +47,7 @@
     }
     m_services.reset();
     m_permits.reset();
-    // The keeper's hooks use the other parts, so its thread ends first.
+    // The callbacks of the document updater use the other parts, so its thread has to end first.
     m_parts.documents.reset();
 }
 
@@ -255,7 +255,7 @@
 
 void Gateway::handleCaller(const HttpRequest &request, HttpResponder &responder)
 {
-    // Counted before the draining flag is read, so that a shutdown never overlooks a request that was let in.
+    // Counted before the draining flag is read, so that a graceful shutdown waits for every admitted request.
     const OpenRequest open(m_parts.openRequests);
     const auto caller = authenticate(request, *m_parts.documents);
     if (!caller.ok()) {
@@ -376,7 +376,7 @@
     if (!m_parts.draining && !isOut(options.dataCentre)) {
         candidates.push_back({.distance = 0, .openStreams = m_parts.openRequests, .address = address(), .dataCentre = options.dataCentre});
     }
-    // FIXME: gateways rank by their own distance; a caller that asks a far gateway needs a way to say where it is.
+    // FIXME: The list is ordered by the distance from this gateway. A caller in another region has no way to pass its own location.
     std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &b) {
         return std::tie(a.distance, a.openStreams, a.address) < std::tie(b.distance, b.openStreams, b.address);
     });
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -9,7 +9,7 @@
 namespace Jujube
 {
 
-// A whole gateway: its parts, its threads and its HTTP interface.
+// A gateway process with its threads and its HTTP interface.
 class Gateway
 {
 public:
@@ -25,10 +25,10 @@
         return m_server->address();
     }
 
-    // Begins a graceful shutdown: new requests are refused as not run, running ones go on.
+    // Begins a graceful shutdown: new requests are rejected, running requests continue.
     void drain();
 
-    // Whether all requests have finished and all outcomes are recorded.
+    // Whether all requests have finished and all outcomes of one-time calls are recorded.
     bool isDrained();
 
 private:
@@ -44,7 +44,7 @@
 
     void handle(const HttpRequest &request, HttpResponder &responder);
     void handleCaller(const HttpRequest &request, HttpResponder &responder);
-    // Returns false if the path is not one for operators.
+    // Serves the endpoints for operators. Returns false if the request is not for one of them.
     bool handleOperator(const HttpRequest &request, HttpResponder &responder);
     void sendDocument(HttpResponder &responder) const;
     void sendReadiness(HttpResponder &responder) const;
@@ -52,7 +52,7 @@
     void serveCaller(const HttpRequest &request, const Caller &caller, HttpResponder &responder);
     void listGateways(HttpResponder &responder) const;
 
-    // Tells this process from an earlier one under the same name.
+    // Distinguishes this process from earlier ones with the same name.
     const int64_t m_incarnation;
     GatewayParts m_parts;
     WorkspaceAdmission m_admission;
--- a/Libraries/LibGateway/GatewayOptions.h
+++ b/Libraries/LibGateway/GatewayOptions.h
@@ -9,7 +9,7 @@
 namespace Jujube
 {
 
-// What a gateway process is told at its start.
+// The options of a gateway process.
 struct GatewayOptions {
     std::string name;
     std::string dataCentre;
@@ -22,7 +22,7 @@
     // "address:port" of the platform.
     std::string platform;
     std::string environment;
-    // As in the VM list. Zero stands for the start time in milliseconds, which is higher for each replacement.
+    // The incarnation in the VM list. Zero means the start time in milliseconds, which is higher for each replacement.
     int64_t incarnation = 0;
     std::string cursorKey;
     std::string previousCursorKey;
@@ -34,10 +34,10 @@
     std::chrono::milliseconds vmListInterval {1000};
     std::chrono::milliseconds silenceTimeout {3000};
     std::chrono::milliseconds keepAliveInterval {5000};
-    // How long the claim of a one-time call may be used, and how long others wait for its outcome.
+    // Time after its claim in which a one-time call may be sent, and for which other requests with the same key wait for the outcome.
     std::chrono::milliseconds claimDeadline {15000};
 
-    // The settings that parse() reads.
+    // The settings that fromSettings() reads.
     static std::vector<Setting> settings();
 
     static GatewayOptions fromSettings(const Settings &settings);
--- a/Libraries/LibGateway/GenerationHandler.cpp
+++ b/Libraries/LibGateway/GenerationHandler.cpp
@@ -23,7 +23,7 @@
     if (cursor->workspace != caller.workspace || cursor->bodyDigest != bodyDigest(request.body)) {
         return makeError(ErrorKind::InvalidCursor, "the event id belongs to another request");
     }
-    // Later events of this process sort behind those of the gateway that issued the event id.
+    // Advances the clock, so that later events of this process sort after those of the gateway that issued the event id.
     m_parts.events->observe(cursor->time, wallMsNow());
     return *std::move(cursor);
 }
--- a/Libraries/LibGateway/GenerationHandler.h
+++ b/Libraries/LibGateway/GenerationHandler.h
@@ -5,7 +5,7 @@
 namespace Jujube
 {
 
-// Serves POST /v1/generations: validates the request and its event id, and hands it to a GenerationStream.
+// Serves POST /v1/generations: validates the request and its event id, and runs a GenerationStream for it.
 class GenerationHandler
 {
 public:
@@ -14,8 +14,8 @@
     void handle(const HttpRequest &request, const Caller &caller, HttpResponder &responder);
 
 private:
-    // The cursor of the Last-Event-ID header, or nothing without one. Errors: ErrorKind::InvalidCursor if it is forged, or belongs to another workspace or
-    // another body.
+    // Reads the cursor from the Last-Event-ID header field. Returns nothing if the field is absent. Errors: ErrorKind::InvalidCursor if the cursor is forged,
+    // or was issued for another workspace or another body.
     absl::StatusOr<std::optional<Cursor>> readCursor(const HttpRequest &request, const Caller &caller) const;
 
     GatewayParts &m_parts;
--- a/Libraries/LibGateway/GenerationRequest.cpp
+++ b/Libraries/LibGateway/GenerationRequest.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-// English text has about four bytes to a token; scripts of three bytes a character have fewer characters to a token.
+// English text has about 4 bytes per token. Scripts with 3 bytes per character have fewer characters per token, so the ratio is similar.
 constexpr int64_t BytesPerToken = 4;
 constexpr size_t IdDigits = 32;
 constexpr size_t SeedDigits = 16;
@@ -36,7 +36,7 @@
 {
     for (const auto &[name, value] : json.items()) {
         if (name != "model" && name != "prompt" && name != "kind" && name != "max_tokens") {
-            return makeError(ErrorKind::UnknownField, absl::StrCat("unknown field \"", name, "\"; known are model, prompt, kind, max_tokens"));
+            return makeError(ErrorKind::UnknownField, absl::StrCat("unknown field \"", name, "\"; the known fields are model, prompt, kind, max_tokens"));
         }
     }
     return absl::OkStatus();
--- a/Libraries/LibGateway/GenerationStream.cpp
+++ b/Libraries/LibGateway/GenerationStream.cpp
@@ -16,13 +16,13 @@
 constexpr auto AbandonTimeout = 1000ms;
 constexpr auto NoTimeout = 0ms;
 
-// Bytes are collected while more tokens are at hand, and written together.
+// Tokens that are available at the same time are written together, up to this size.
 constexpr size_t FlushBytes = 16 * 1024;
 
 constexpr auto SuspectRetryDelay = 200ms;
 
-// Requests that shared a crashed target come back at different times, also at different gateways. If they moved on together, every further crash would have
-// the same members, and the one that causes them could not be told from the others.
+// Delay before a crash suspect is placed again. It differs between the requests that ran on a crashed target, also across gateways: if they were placed
+// together again, every further crash would have the same suspects, and the poison request could not be identified.
 std::chrono::milliseconds isolationDelay(const std::string &generation, int32_t attempt)
 {
     constexpr uint64_t MaxDelayMs = 3000;
@@ -140,11 +140,11 @@
 GenerationActions GenerationStream::placeNow(const std::set<std::string> &excluded, MonotonicTime now)
 {
     if (!m_parts.documents->permissions(now).newWork && m_session.attempt() == 1 && m_session.producedTokens() == 0) {
-        // Drafts are patient: the request waits for contact until the document's queue wait has passed.
+        // The request waits for this gateway to regain contact, up to the queue wait of the document.
         const bool waitedLongEnough = now - m_acceptedAt > m_options.caller.document->document.limits.queueWait;
         const Problem isolated {
             .kind = ErrorKind::Isolated,
-            .detail = "this gateway reaches neither the platform nor enough gateways",
+            .detail = "this gateway reaches neither the platform nor a majority of the gateways",
             .retryAfter = errorKindInfo(ErrorKind::Isolated).retryAfter,
         };
         return waitedLongEnough ? m_session.onRefused(isolated, now) : m_session.onHeld(now + 100ms, now);
@@ -161,7 +161,7 @@
     }
     const auto &refused = std::get<RefuseRequest>(decision);
     if (m_isSuspect && now - m_acceptedAt < m_options.caller.document->document.limits.queueWait) {
-        // All usable targets run other suspects, which end or are cleared.
+        // All usable targets run other crash suspects. Their runs will end, or the suspicion against them will be cleared.
         return m_session.onHeld(now + SuspectRetryDelay, now);
     }
     return m_session.onRefused({.kind = refused.kind, .detail = "no target has room for this request", .retryAfter = refused.retryAfter}, now);
@@ -201,7 +201,7 @@
     if (action.attempt > 1) {
         record(EventKind::StreamContinued, action.target, absl::StrCat("attempt ", action.attempt, " from offset ", m_session.producedTokens()));
     }
-    // A caller that waits for a long prompt can come back with the id of the chosen target.
+    // Sends the event id with the chosen target now, so that a caller can resume while a long prompt is being processed.
     if (m_session.producedTokens() == 0 && !beginResponse()) {
         return;
     }
@@ -226,7 +226,7 @@
     call.connectTimeout = EngineConnectTimeout;
     call.totalTimeout = NoTimeout;
     call.silenceTimeout = m_parts.options.silenceTimeout;
-    // A silent connection must not be used again for the attempt to get around it.
+    // Retries after silence must not reuse the silent connection.
     call.freshConnection = true;
     m_engineStream = std::make_shared<EngineStream>(*m_parts.http, std::move(call));
 }
@@ -239,7 +239,7 @@
         return;
     }
     const auto url = absl::StrCat("http://", *address, "/generations/", m_options.generation);
-    // Nobody waits for the answer: a target that is gone has no generation left to drop.
+    // The response is ignored: a target that is gone has no generation left to drop.
     m_parts.http->open({.method = "DELETE", .url = url, .connectTimeout = AbandonTimeout, .totalTimeout = AbandonTimeout}, {});
 }
 
@@ -355,7 +355,7 @@
 void GenerationStream::processBytes(const std::string &bytes)
 {
     markRequestReceived();
-    // An action may replace the upstream stream; the lines left over belong to the old one, whose parser must outlive this call.
+    // An action may replace the engine stream. The remaining lines then belong to the old stream, whose parser has to outlive this call.
     const auto source = m_engineStream;
     const auto before = m_session.producedTokens();
     source->parser().feed(bytes, [this, &source](const EngineLine &line) {
@@ -432,7 +432,7 @@
     m_engineStream.reset();
     m_parts.crashes->runEnded(m_options.generation);
     if (m_isCallerGone) {
-        // The engine goes on, so that the caller can come back at any gateway.
+        // The engine continues the generation, so that the caller can resume at any gateway.
         record(EventKind::StreamCallerLost, m_session.target(), absl::StrCat("after ", m_session.producedTokens(), " tokens"));
     }
     if (!m_isPlaced) {
--- a/Libraries/LibGateway/GenerationStream.h
+++ b/Libraries/LibGateway/GenerationStream.h
@@ -7,8 +7,8 @@
 namespace Jujube
 {
 
-// Serves one generation to one caller: carries out the actions of a GenerationSession with the engines, the policy and the caller's connection. Runs on the
-// thread that serves the request.
+// Serves one generation to one caller. Performs the actions of a GenerationSession: places the generation, exchanges data with the engines and writes to the
+// caller's connection. Runs on the thread that serves the request.
 class GenerationStream
 {
 public:
@@ -23,7 +23,7 @@
 
     GenerationStream(Options options, HttpResponder &responder);
 
-    // Returns when the generation is complete, has failed, or its caller is gone.
+    // Returns when the generation is complete or has failed, or the caller has disconnected.
     void run();
 
 private:
@@ -42,7 +42,8 @@
     void readEngineStream();
     void processBytes(const std::string &bytes);
     void waitForTarget();
-    // Keeps suspects of crashes apart, or refuses the request. Returns nothing if it may be placed.
+    // Isolates crash suspects from each other and fails poison requests. Returns the actions to perform instead of a placement, or nothing if the request may
+    // be placed.
     std::optional<GenerationActions> checkCrashSuspicion(MonotonicTime now, std::set<std::string> &excluded);
     GenerationActions placeNow(const std::set<std::string> &excluded, MonotonicTime now);
     void openEngineStream(HttpCall call);
@@ -50,7 +51,7 @@
     HttpCall generateCall(const std::string &address, const SessionAction::Generate &action) const;
     Cursor cursorAt(int32_t nextOffset, uint64_t checksum) const;
 
-    // Opens the caller's stream if it is not open. Its first bytes are an event id, so that a caller that loses the connection can come back.
+    // Begins the response to the caller unless it has begun. A new stream begins with an event id, so that a caller that loses its connection can resume.
     bool beginResponse();
     bool flush();
     bool sendKeepAlive();
@@ -62,15 +63,15 @@
     HttpResponder &m_responder;
     GenerationSession m_session;
     std::shared_ptr<EngineStream> m_engineStream;
-    // Actions that follow from an action, in order.
+    // Actions still to be performed, in order.
     GenerationActions m_pendingActions;
     std::optional<MonotonicTime> m_waitUntil;
     const uint64_t m_fingerprint;
     uint64_t m_targetIncarnation = 0;
-    // Whether the present target has received the request.
+    // Whether the current target has received the request.
     bool m_isRequestReceived = false;
     bool m_isSuspect = false;
-    // A suspect is not placed again before this time.
+    // A crash suspect is not placed again before this time.
     MonotonicTime m_isolatedUntil;
     MonotonicTime m_acceptedAt;
     MonotonicTime m_lastWriteAt;
--- a/Libraries/LibGateway/OneTimeRunner.cpp
+++ b/Libraries/LibGateway/OneTimeRunner.cpp
@@ -17,7 +17,7 @@
     case WriteEnd::Done:
         return ClaimWriteEnd::Done;
     case WriteEnd::Conflict:
-        // Without the row in the way nothing can be decided; the claim is read again.
+        // The response does not contain the conflicting row, so the claim has to be read again.
         return result.currentKnown && result.current ? ClaimWriteEnd::Conflict : ClaimWriteEnd::Unknown;
     case WriteEnd::NotDone:
         return ClaimWriteEnd::NotDone;
--- a/Libraries/LibGateway/OneTimeRunner.h
+++ b/Libraries/LibGateway/OneTimeRunner.h
@@ -7,8 +7,7 @@
 namespace Jujube
 {
 
-// Runs one call that must not run twice: carries out the steps of a OneTimeCall with the table service and the target. Runs on the thread that serves the
-// request.
+// Runs one one-time call: performs the steps of a OneTimeCall with the table service and the target. Runs on the thread that serves the request.
 class OneTimeRunner
 {
 public:
@@ -19,7 +18,7 @@
         std::string tableKey;
         std::string bodyDigest;
         std::string request;
-        // Sends the call once.
+        // Sends the call to a target, at most once.
         std::function<CallAnswer()> send;
     };
 
--- a/Libraries/LibGateway/OutcomeRecorder.cpp
+++ b/Libraries/LibGateway/OutcomeRecorder.cpp
@@ -82,7 +82,7 @@
     if (result.end == WriteEnd::Done) {
         m_events.record({.kind = EventKind::OutcomeRecorded, .request = outcome.request}, wallMsNow());
     }
-    // After a conflict another record is there: an own write whose answer was lost.
+    // A conflict means that an earlier write of this process took effect and its response was lost.
     return result.end == WriteEnd::Done || result.end == WriteEnd::Conflict;
 }
 
--- a/Libraries/LibGateway/OutcomeRecorder.h
+++ b/Libraries/LibGateway/OutcomeRecorder.h
@@ -10,15 +10,15 @@
 namespace Jujube
 {
 
-// Records outcomes of one-time calls that could not be recorded at once, on a thread of its own, in the order in which they came, with one write at a time
-// and growing pauses, so that the end of an outage causes no surge.
+// Retries writes of one-time call outcomes that failed at first. Runs on its own thread and writes one outcome at a time, in order of arrival and with
+// exponential backoff, so that the end of an outage causes no surge of writes.
 class OutcomeRecorder
 {
 public:
     struct Outcome {
         std::string tableKey;
         std::string value;
-        // The claim's revision; 0 if the claim has to be found by its nonce first.
+        // Revision of the claim's row. 0 if the row has to be read first and its nonce compared.
         int64_t revision = 0;
         std::string releaseNonce;
         std::string request;
@@ -29,15 +29,15 @@
     OutcomeRecorder(const OutcomeRecorder &) = delete;
     OutcomeRecorder &operator=(const OutcomeRecorder &) = delete;
 
-    // Takes over an outcome. The oldest one is given up if too many wait; its key then stays claimed, which is safe.
+    // Adds an outcome to the queue. If the queue is full, the oldest outcome is dropped; its key then stays claimed, so the call cannot run again.
     void retry(Outcome outcome);
 
-    // Waits until nothing is left to record, for at most the given time. Returns whether nothing is left.
+    // Waits until the queue is empty, for at most the given time. Returns whether it is empty.
     bool waitUntilDone(std::chrono::milliseconds timeout);
 
 private:
     void run();
-    // Returns false if the table service did not answer.
+    // Return false if the outcome has to be tried again because the table service failed.
     bool tryRecord(const Outcome &outcome);
     bool tryRelease(const Outcome &outcome);
 
--- a/Libraries/LibGateway/OwnSlots.cpp
+++ b/Libraries/LibGateway/OwnSlots.cpp
@@ -19,7 +19,7 @@
         std::count_if(row.slots.begin(), row.slots.end(), [&](const PermitSlot &slot) { return isOwn(slot, self) && slot.state == state; }));
 }
 
-// Removes up to `count` own slots in a state.
+// Removes up to `count` slots of this gateway in the given state. Returns how many were removed.
 int removeOwn(PermitRow &row, const PermitHolder &self, SlotState state, int count)
 {
     int removed = 0;
@@ -47,7 +47,7 @@
     const int asked = countOwn(row, demand.self, SlotState::Asked);
     const int held = countOwn(row, demand.self, SlotState::Granted) + countOwn(row, demand.self, SlotState::Recalled);
     int idle = std::max(0, held - demand.ownRunning);
-    // Recalled slots go back first.
+    // Recalled slots are returned first.
     idle -= removeOwn(revised, demand.self, SlotState::Recalled, idle);
     if (!demand.needsSlot) {
         removeOwn(revised, demand.self, SlotState::Granted, idle);
--- a/Libraries/LibGateway/OwnSlots.h
+++ b/Libraries/LibGateway/OwnSlots.h
@@ -6,22 +6,22 @@
 namespace Jujube
 {
 
-// What a gateway wants of a target's permit row.
+// The permit slots that a gateway needs on one target.
 struct OwnSlotDemand {
     PermitHolder self;
-    // Id for a slot that is asked for; unique.
+    // Unique id for a newly requested slot.
     std::string newSlotId;
     // Whether the target is cold and this gateway could use it.
     bool needsSlot = false;
-    // Own streams that run on the target. As many slots are kept until they end.
+    // Streams of this gateway that run on the target. Each of them keeps one slot until it ends.
     int ownRunning = 0;
 };
 
-// Slots of this gateway that may be used for new streams.
+// Counts the slots of this gateway under which new streams may start.
 int countUsableSlots(const PermitRow &row, const PermitHolder &self);
 
-// The row to write in place of the given one, or nothing if it stays as it is. A gateway asks for one slot at a time, gives slots back that it does not need
-// any more, and never gives one back while a stream runs under it. Slots of an earlier incarnation are not touched: their streams may still run.
+// Returns the row to write, or nothing if the row needs no change. A gateway requests one slot at a time, returns slots that it no longer needs, and never
+// returns a slot while a stream runs under it. Slots of an earlier incarnation of the gateway stay unchanged, because their streams may still run.
 std::optional<PermitRow> reviseOwnSlots(const PermitRow &row, const OwnSlotDemand &demand);
 
 } // namespace Jujube
--- a/Libraries/LibGateway/PermitManager.cpp
+++ b/Libraries/LibGateway/PermitManager.cpp
@@ -35,7 +35,7 @@
 void PermitManager::revisePermits()
 {
     for (const auto &target : m_options.fleet->engineColdStates(monotonicNow())) {
-        // A warm target concerns this gateway only as long as it holds slots there.
+        // A warm target needs an update only while this gateway holds slots on it.
         if (target.mayBeCold || m_slots.contains(target.name)) {
             revisePermit(target);
         }
@@ -58,7 +58,7 @@
         }
         row = *parsed;
     }
-    // Slots are given up before the row says so: the fleet keeper must not use one that another gateway may get.
+    // The fleet manager stops using a returned slot before the row is written, because another gateway may get the slot right after the write.
     const OwnSlotDemand demand {.self = m_options.self, .newSlotId = randomIdentifier(), .needsSlot = target.mayBeCold, .ownRunning = target.ownRunning};
     const auto revised = reviseOwnSlots(row, demand);
     applyUsableSlots(target.name, countUsableSlots(revised.value_or(row), m_options.self));
@@ -70,7 +70,7 @@
     } else {
         m_options.table->putIfAbsent(key, revised->toText());
     }
-    // Whether the write took effect is seen in the next round's read.
+    // The result of the write is not checked: the next read shows whether it took effect.
 }
 
 void PermitManager::applyUsableSlots(const std::string &target, int slots)
--- a/Libraries/LibGateway/PermitManager.h
+++ b/Libraries/LibGateway/PermitManager.h
@@ -12,8 +12,9 @@
 namespace Jujube
 {
 
-// Asks for permits of cold targets, tells the fleet keeper how many it may use, and returns those that are not needed any more. Has a thread of its own, so
-// that a slow table service delays nobody else. While the table service is down, the permits that are held go on being used, and no new ones come.
+// Requests permits for cold targets, passes the number of usable permits to the fleet manager, and returns permits that are no longer needed. Runs on its own
+// thread, so that a slow table service delays no other part of the gateway. While the table service is down, permits already held stay usable and no new ones
+// are granted.
 class PermitManager
 {
 public:
@@ -40,7 +41,7 @@
     std::mutex m_mutex;
     std::condition_variable m_stopSignal;
     bool m_stopping = false;
-    // Usable slots by target, as far as they are above zero.
+    // Number of usable slots by target. Targets without usable slots have no entry.
     std::map<std::string, int> m_slots;
     std::thread m_thread;
 };
--- a/Libraries/LibGateway/RequestContext.cpp
+++ b/Libraries/LibGateway/RequestContext.cpp
@@ -19,7 +19,7 @@
     }
     const auto found = document->workspaceByKeyHash.find(sha256Hex(header.substr(Scheme.size())));
     if (found == document->workspaceByKeyHash.end()) {
-        return makeError(ErrorKind::Unauthorized, "the key is not known");
+        return makeError(ErrorKind::Unauthorized, "the bearer key is unknown");
     }
     return Caller {.workspace = found->second, .document = document};
 }
--- a/Libraries/LibGateway/RequestContext.h
+++ b/Libraries/LibGateway/RequestContext.h
@@ -15,7 +15,7 @@
 namespace Jujube
 {
 
-// The parts of a gateway that request handlers use.
+// The components of a gateway that request handlers use.
 struct GatewayParts {
     GatewayOptions options;
     std::unique_ptr<EventLog> events;
@@ -26,11 +26,12 @@
     std::unique_ptr<Membership> membership;
     std::unique_ptr<FleetManager> fleet;
     std::unique_ptr<DocumentUpdater> documents;
-    // Live gateways including this one, as of the latest document round. Copying the members for each request would cost 390 copies at full size.
+    // Number of live gateways including this one, as of the latest document update. Cached, because at full size the membership would have to copy 390
+    // members for each request.
     std::atomic<int> liveGateways {1};
-    // A graceful shutdown has begun.
+    // Whether a graceful shutdown has begun.
     std::atomic<bool> draining {false};
-    // Requests in progress that a shutdown has to wait for.
+    // Number of requests in progress, which a graceful shutdown waits for.
     std::atomic<int> openRequests {0};
 
     void record(Event event) const
@@ -39,7 +40,7 @@
     }
 };
 
-// Who sent a request, under which document.
+// The workspace that sent a request, with the document that was in force when the request was authenticated.
 struct Caller {
     std::string workspace;
     std::shared_ptr<const DocumentInForce> document;
@@ -50,7 +51,7 @@
     }
 };
 
-// Counts a request as open for as long as it lives.
+// Counts a request as open for the lifetime of the object.
 class OpenRequest
 {
 public:
@@ -72,10 +73,10 @@
     std::atomic<int> &m_counter;
 };
 
-// Finds the workspace of a request's key. Errors: ErrorKind::Unauthorized; ErrorKind::PlatformUnavailable while there is no document.
+// Finds the workspace by the request's bearer key. Errors: ErrorKind::Unauthorized; ErrorKind::PlatformUnavailable while no document is in force.
 absl::StatusOr<Caller> authenticate(const HttpRequest &request, const DocumentUpdater &documents);
 
-// Answers with a problem, and counts and records the refusal.
+// Sends a problem as the response, increments the metric of refusals and records an event.
 void respondWithProblem(const GatewayParts &parts, HttpResponder &responder, const Problem &problem, const std::string &request);
 
 } // namespace Jujube
--- a/Libraries/LibGateway/ResponseCache.h
+++ b/Libraries/LibGateway/ResponseCache.h
@@ -9,8 +9,7 @@
 namespace Jujube
 {
 
-// Answers of repeatable reads that are fresh enough to be given again. Answers are kept per workspace, so that none reaches another one. Safe to use from
-// several threads.
+// Caches responses to GET calls of plain services. The workspace is part of the key, so that no workspace gets the response of another one. Thread-safe.
 class ResponseCache
 {
 public:
@@ -31,10 +30,10 @@
 
     explicit ResponseCache(size_t capacity = 10'000);
 
-    // The answer if it was stored at most `fresh` ago.
+    // Returns the cached response if its request was sent at most `maxAge` ago.
     std::optional<CachedResponse> find(const Key &key, std::chrono::milliseconds maxAge, MonotonicTime now) const;
 
-    // Stores an answer. `requestedAt` is the time before the target was asked: the answer may be as old as that.
+    // Stores a response. `requestedAt` is the time just before the request was sent, because the response may describe a state as old as that.
     void store(const Key &key, CachedResponse response, MonotonicTime requestedAt);
 
 private:
--- a/Libraries/LibGateway/ServiceHandler.cpp
+++ b/Libraries/LibGateway/ServiceHandler.cpp
@@ -23,7 +23,7 @@
 constexpr size_t MaxIdBytes = 200;
 constexpr int FirstServerErrorStatus = 500;
 
-// Ids become part of a path on the target, so only characters that cannot change the path are allowed.
+// Ids become part of the request path on the target, so only characters that cannot change the path are allowed.
 bool isPathSafeId(std::string_view id)
 {
     const auto plain = [](char c) { return absl::ascii_isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '_' || c == '.' || c == ':'; };
@@ -160,7 +160,7 @@
         if (response.end != HttpEnd::NotSent) {
             return {.end = CallEnd::Unknown};
         }
-        // No byte reached this target, so another one may be tried.
+        // No byte was sent to this target, so another one may be tried.
         triedTargets.insert(*target);
     }
     return {.end = CallEnd::NotSent};
--- a/Libraries/LibGateway/ServiceHandler.h
+++ b/Libraries/LibGateway/ServiceHandler.h
@@ -15,7 +15,7 @@
 
     void handle(const HttpRequest &request, const Caller &caller, HttpResponder &responder);
 
-    // Waits until all outcomes are recorded, for a graceful shutdown.
+    // Waits until all outcomes of one-time calls are recorded, for a graceful shutdown.
     bool waitUntilRecorded(std::chrono::milliseconds timeout)
     {
         return m_recorder.waitUntilDone(timeout);
@@ -32,7 +32,7 @@
     static absl::StatusOr<Route> findRoute(const HttpRequest &request, const EnvironmentDocument &document);
     void handleOneTime(const HttpRequest &request, const Caller &caller, const Route &route, HttpResponder &responder);
     void handleRepeatable(const HttpRequest &request, const Caller &caller, const Route &route, HttpResponder &responder);
-    // Sends a call that may be repeated, to another target each time, until one answers.
+    // Sends a repeatable call. Retries on other targets until one of them sends a complete response without a server error.
     std::variant<HttpAnswer, Problem> sendRepeatable(const HttpRequest &request, const Caller &caller, const Route &route);
     CallAnswer sendOnce(const HttpRequest &request, const Caller &caller, const Route &route, const std::string &requestId);
     static HttpCall makeCall(const HttpRequest &request, const Caller &caller, const Route &route, const std::string &address);
--- a/Libraries/LibGateway/WorkspaceAdmission.cpp
+++ b/Libraries/LibGateway/WorkspaceAdmission.cpp
@@ -24,13 +24,13 @@
     const std::lock_guard lock(m_mutex);
     const int gateways = std::max(1, liveGateways);
     if (limits.openStreams > 0) {
-        // Rounded up, so that a small limit does not become zero at every gateway.
+        // Rounded up, so that the share of a small limit is not zero on every gateway.
         const int share = (static_cast<int>(limits.openStreams) + gateways - 1) / gateways;
         if (m_openRequests[workspace] >= share) {
             return makeRateLimitProblem("the workspace has too many open requests", OpenStreamsRetryAfter);
         }
     }
-    // A second's worth may be used at once.
+    // The burst is the number of requests allowed per second.
     const WorkspaceLimit rate {.perSecond = static_cast<double>(limits.requestsPerSecond), .burst = static_cast<double>(limits.requestsPerSecond)};
     const auto wait = m_requestLimiter.take(workspace, rate, 1, gateways, now);
     if (wait > MonotonicTime::duration::zero()) {
--- a/Libraries/LibGateway/WorkspaceAdmission.h
+++ b/Libraries/LibGateway/WorkspaceAdmission.h
@@ -10,12 +10,11 @@
 namespace Jujube
 {
 
-// Holds each workspace to the limits of the environment document. The limits are for all gateways together; each gateway grants its part. Safe to use from
-// several threads.
+// Enforces the workspace limits of the environment document. The limits apply to all gateways together, and each gateway grants an equal share. Thread-safe.
 class WorkspaceAdmission
 {
 public:
-    // Admits a request, or says when to come back. An admitted request is counted as open until release().
+    // Admits a request, or returns a problem with the time after which to retry. An admitted request counts as open until release().
     std::optional<Problem> admit(const std::string &workspace, const WorkspaceLimits &limits, int liveGateways, MonotonicTime now);
 
     void release(const std::string &workspace);
--- a/Tests/LibGateway/TestCrashTracker.cpp
+++ b/Tests/LibGateway/TestCrashTracker.cpp
@@ -5,8 +5,8 @@
 namespace Jujube
 {
 
-// Guards against blaming a request for the death of a target that never received it: a connection that a dead target refuses is no crash of the request's.
-TEST(CrashTracker, OnlyRequestsThatReachedTheTargetAreMembers)
+// Guards against a request that becomes a crash suspect although the crashed target never received it, because the target refused the connection.
+TEST(CrashTracker, SuspectsOnlyRequestsThatTheTargetReceived)
 {
     EventLog events({.process = "test", .dataCentre = "", .onEvent = nullptr});
     std::vector<CrashReport> published;
@@ -22,8 +22,8 @@
     EXPECT_EQ(tracker.verdict(2, now).action, CrashVerdict::Action::Run);
 }
 
-// Guards against suspects of one gateway that meet on the same target, which would hide which of them causes the crashes.
-TEST(CrashTracker, NamesTheTargetsOfSuspects)
+// Guards against two crash suspects of one gateway that run on the same target, where a crash would not show which of them caused it.
+TEST(CrashTracker, ReturnsTheTargetsOfSuspects)
 {
     EventLog events({.process = "test", .dataCentre = "", .onEvent = nullptr});
     CrashTracker tracker({.events = &events, .publish = nullptr});
--- a/Tests/LibGateway/TestOwnSlots.cpp
+++ b/Tests/LibGateway/TestOwnSlots.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-// Guards against a slot that is used before it is granted, after it was recalled, or although an earlier process under the same name holds it.
+// Guards against use of a slot before it is granted, after it was recalled, or while an earlier process with the same name holds it.
 TEST(OwnSlots, OnlyOwnGrantedSlotsAreUsable)
 {
     EXPECT_EQ(countUsableSlots(rowWith(Self, SlotState::Granted), Self), 1);
@@ -27,7 +27,7 @@
     EXPECT_EQ(countUsableSlots(rowWith(Earlier, SlotState::Granted), Self), 0);
 }
 
-// Guards against a slot that is returned while its stream still runs, which would let another gateway exceed the limit.
+// Guards against returning a slot while its stream still runs, which would let another gateway exceed the concurrency limit of the target.
 TEST(OwnSlots, KeepsSlotsOfRunningStreams)
 {
     for (const auto state : {SlotState::Granted, SlotState::Recalled}) {
@@ -38,8 +38,8 @@
     }
 }
 
-// Guards against a gateway that asks for more slots than it can use, and against slots of an earlier process being taken away.
-TEST(OwnSlots, AsksForOneSlotAtATime)
+// Guards against a gateway that requests more slots than it can use, or removes slots of an earlier process.
+TEST(OwnSlots, RequestsOneSlotAtATime)
 {
     const OwnSlotDemand demand {.self = Self, .newSlotId = "n", .needsSlot = true, .ownRunning = 0};
     const auto asked = reviseOwnSlots({}, demand);
