--- a/Libraries/LibEnvironment/ConnectivityTracker.cpp
+++ b/Libraries/LibEnvironment/ConnectivityTracker.cpp
@@ -46,7 +46,7 @@
 
 void ConnectivityTracker::setMembers(std::set<std::string> members)
 {
-    // New members have not been heard yet, which says nothing about the contact before they were added.
+    // There is no contact with new members yet. The majority before they were added still counts.
     m_previousMajorityContact = lastMajorityContact();
     m_members = std::move(members);
     m_members.erase(m_options.self);
@@ -66,7 +66,7 @@
     constexpr std::chrono::milliseconds NoTime {0};
     const auto contactAt = now - std::max(report.age, NoTime);
     auto &peer = m_peers.try_emplace(report.peer, Peer {.contactAt = contactAt}).first->second;
-    // Reports overtake each other; an older one never takes back what a newer one said.
+    // Reports may arrive out of order, so an older report never replaces a newer one.
     peer.contactAt = std::max(peer.contactAt, contactAt);
     if (report.platformAge) {
         peer.platformAt = std::max(peer.platformAt, OptionalTime(contactAt - std::max(*report.platformAge, NoTime)));
@@ -124,7 +124,7 @@
     return last;
 }
 
-// The latest moment since which a majority, including this gateway, has been heard: of the peers that a majority needs, the one heard longest ago.
+// The latest time since which this gateway and enough peers for a majority have been in contact: the oldest contact among the most recent ones needed.
 ConnectivityTracker::OptionalTime ConnectivityTracker::lastMajorityContact() const
 {
     const auto needed = memberCount() / 2;
--- a/Libraries/LibEnvironment/DocumentDiff.cpp
+++ b/Libraries/LibEnvironment/DocumentDiff.cpp
@@ -130,7 +130,7 @@
     return absl::StrCat(toAbsl(sign), " ", path, text.empty() ? "" : ": ", text);
 }
 
-// Compares the fields of an entry that both documents have. A target can turn from an engine into a service, so fields may be missing on either side.
+// Compares the fields of an entry that both documents have. Either side may lack fields, because a target can change from an engine to a plain service.
 void addChanges(std::vector<std::string> &lines, const std::string &path, const Fields &before, const Fields &after)
 {
     auto fields = before;
--- a/Libraries/LibEnvironment/DocumentErrors.cpp
+++ b/Libraries/LibEnvironment/DocumentErrors.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// A damaged document can have a mistake on every line; the message has to stay readable and bounded.
+// Keeps the message readable and bounded if a damaged document has an error on every line.
 constexpr size_t MaxPrintedErrors = 50;
 
 } // namespace
@@ -32,7 +32,7 @@
     std::vector<std::string> lines;
     for (const auto &error : sorted) {
         if (lines.size() == MaxPrintedErrors) {
-            lines.push_back(absl::StrCat("and ", sorted.size() - MaxPrintedErrors, " more mistakes"));
+            lines.push_back(absl::StrCat("and ", sorted.size() - MaxPrintedErrors, " more errors"));
             break;
         }
         lines.push_back(absl::StrCat(error.position.line, ":", error.position.column, ": ", error.text));
--- a/Libraries/LibEnvironment/DocumentErrors.h
+++ b/Libraries/LibEnvironment/DocumentErrors.h
@@ -6,7 +6,7 @@
 namespace Jujube
 {
 
-// Collects all mistakes of a document, so that the author sees them at once.
+// Collects all errors of a document, so that its author sees them at once.
 class DocumentErrors
 {
 public:
@@ -17,7 +17,7 @@
         return m_errors.empty();
     }
 
-    // Ok if there are none. Otherwise ErrorKind::InvalidDocument with one line "line:column: text" per mistake, in the order of the text.
+    // Ok if there are none. Otherwise ErrorKind::InvalidDocument with one line "line:column: text" per error, ordered by position.
     absl::Status toStatus() const;
 
 private:
--- a/Libraries/LibEnvironment/DocumentHead.cpp
+++ b/Libraries/LibEnvironment/DocumentHead.cpp
@@ -12,7 +12,7 @@
 std::string DocumentHead::toJson() const
 {
     const nlohmann::json json {{"version", version}, {"digest", digest}, {"object", object}, {"author", author}, {"time_ms", timeMs}};
-    // The author comes from outside; invalid UTF-8 must not stop the write.
+    // The author is external input; invalid UTF-8 in it must not prevent the write.
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/Libraries/LibEnvironment/DocumentParser.cpp
+++ b/Libraries/LibEnvironment/DocumentParser.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-// The design size is 8 data centres, 550 workspaces, 7 models and 2,800 targets. The limits leave room for a few times that.
+// The design size is 8 data centres, 550 workspaces, 7 models and 2,800 targets. The limits allow several times as many.
 constexpr size_t MaxDataCentres = 64;
 constexpr size_t MaxWorkspaces = 4000;
 constexpr size_t MaxModels = 128;
@@ -35,8 +35,8 @@
 constexpr auto MaxCacheAge = 1h;
 constexpr auto MinTimeout = 10ms;
 constexpr auto MaxTimeout = 120s;
-// Requests that find the claim of a call wait for it at most this long (docs/design.md, section 9), so a longer call would be answered "unknown" while it
-// still runs.
+// Requests that find the claim of another request wait at most this long for its outcome (docs/design.md, section 9). If a call ran longer, they would get
+// the response that the outcome is unknown while the call still runs.
 constexpr auto MaxOneTimeTimeout = 15s;
 constexpr auto MaxQueueWait = 600s;
 
@@ -91,7 +91,7 @@
     reader.readEntries("services", MaxServices, entries(&DocumentParser::readService));
     readPriorities(reader);
     readGatewayLimits(reader);
-    // Targets refer to the sections above, wherever these stand in the text.
+    // Targets are read last, because they refer to the other sections, whose order in the text is free.
     reader.readEntries("targets", MaxTargets, entries(&DocumentParser::readTarget));
     reader.finish();
     return std::move(m_document);
--- a/Libraries/LibEnvironment/DocumentParser.h
+++ b/Libraries/LibEnvironment/DocumentParser.h
@@ -6,7 +6,7 @@
 namespace Jujube
 {
 
-// Reads the sections of a document from its tree, and checks values and the references between sections.
+// Reads the sections of a document from its tree, and validates the values and the references between sections.
 class DocumentParser
 {
 public:
@@ -34,7 +34,7 @@
 
     DocumentErrors &m_errors;
     EnvironmentDocument m_document;
-    // Which workspace or target uses a key hash or an address first.
+    // The first workspace with a key hash, and the first target with an address.
     std::map<std::string, std::string> m_keyHashOwners;
     std::map<std::string, std::string> m_addressOwners;
 };
--- a/Libraries/LibEnvironment/DocumentTracker.cpp
+++ b/Libraries/LibEnvironment/DocumentTracker.cpp
@@ -63,7 +63,7 @@
     m_document = std::make_shared<const EnvironmentDocument>(*std::move(document));
     m_newestKnownVersion = std::max(m_newestKnownVersion, m_version);
     m_acceptedAt = now;
-    // A confirmation of the version before says nothing about this one.
+    // Confirmations of the previous version do not count for this one.
     m_confirmedAt.reset();
     if (offer.source == DocumentSource::Table) {
         confirm(now);
--- a/Libraries/LibEnvironment/DocumentTracker.h
+++ b/Libraries/LibEnvironment/DocumentTracker.h
@@ -9,11 +9,11 @@
 {
 
 enum class DocumentSource {
-    // The head was read from the table service by this node.
+    // This gateway has read the head from the table service.
     Table,
     // A peer has offered the document.
     Peer,
-    // A copy that this node kept from before a restart of the process.
+    // A copy that this gateway has kept across a restart of the process.
     Cache,
 };
 
@@ -23,52 +23,52 @@
     AlreadyInForce,
     // A newer version is in force.
     Older,
-    // The version in force was offered with another digest. One of the two was never accepted by the table service.
+    // The version in force was offered with another digest. The table service has never accepted one of the two documents.
     VersionReused,
     DigestMismatch,
-    // The bytes match their digest, but this node cannot read the document.
+    // The bytes match their digest, but this gateway cannot parse the document.
     Invalid,
 };
 
 std::string_view nameOf(OfferResult result);
 
-// A document that is offered to the ledger.
+// A document offered to the tracker.
 struct DocumentOffer {
     DocumentSource source = DocumentSource::Table;
     uint64_t version = 0;
     std::string digest;
     std::string_view bytes;
-    // For offers of a peer: how long ago the table service confirmed the version, by the peer's own account. Empty if never.
+    // For offers of a peer: time since the table service confirmed the version, as reported by the peer. Empty if never.
     std::optional<std::chrono::milliseconds> confirmedAge;
 };
 
-// Decides which environment document is in force on one node (docs/design.md, section 10). A document is accepted only if its version is greater than the
-// version in force and the digest matches its bytes, whatever its source; nothing else replaces the document in force. In particular a table service that
-// was restored from an old copy, a late answer, or a peer that was away for long cannot bring back an older document.
+// Decides which environment document is in force on one gateway (docs/design.md, section 10). Whatever its source, a document is accepted only if its version
+// is greater than the version in force and its digest matches its bytes. Nothing else replaces the document in force, so an older document cannot come back
+// from a table service restored from an old copy, from a late response, or from a peer that was absent for a long time.
 //
-// The ledger also keeps when the table service last confirmed that the version in force is the newest one, directly or through peers. Times are on this
-// node's monotonic clock. For a read of the table, now is the time before the read was sent, because the answer says nothing about later moments; this
-// also keeps a node that was frozen between request and answer from taking an old answer for a new one.
+// The tracker also holds the time at which the table service last confirmed that the version in force is the newest one, directly or through peers. Times are
+// on the monotonic clock of this gateway. For a read of the table, `now` is the time before the read was sent, because the response says nothing about later
+// times. A process that was frozen between request and response therefore does not take an old response for a new one.
 //
-// The age in a peer's heartbeat leaves out the time that the heartbeat took. Two nodes that confirm each other's version would renew the confirmation by
-// that time with every exchange, without the table service. Every age from a peer is therefore raised by PeerDelayAllowance. Datagrams that waited longer
-// than that, for example in the socket of a process that was paused, must not be passed on to the ledger.
+// The age in a peer's heartbeat does not include the transmission time of the heartbeat. Without a correction, two gateways that confirm each other's version
+// would make the confirmation younger by that time with every exchange, without the table service. Every age from a peer is therefore raised by
+// PeerDelayAllowance. Datagrams that waited longer than that, for example in the socket of a frozen process, must not be passed to the tracker.
 class DocumentTracker
 {
 public:
     static constexpr std::chrono::milliseconds PeerDelayAllowance {500};
 
-    // A document is parsed before it is put in force, by this function. A node must not drop its present document for one that it cannot read.
+    // Parses a document before it is put in force, because a document that cannot be parsed must not replace the one in force.
     using ParseFunction = std::function<absl::StatusOr<EnvironmentDocument>(std::string_view yaml)>;
 
     explicit DocumentTracker(ParseFunction parse = parseEnvironmentDocument);
 
     OfferResult offer(const DocumentOffer &offer, MonotonicTime now);
 
-    // The table service has shown this head. Counts as a confirmation if it is the version in force.
+    // The head was read from the table service. Counts as a confirmation if it is the version in force.
     void tableHeadReceived(uint64_t version, std::string_view digest, MonotonicTime readSentAt);
 
-    // A peer's heartbeat has carried its version and confirmation age. Counts as a confirmation if it is the version in force.
+    // A peer's heartbeat contained its version and confirmation age. Counts as a confirmation if it is the version in force.
     void peerVersionReceived(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, MonotonicTime now);
 
     // Zero if no document is in force.
@@ -94,20 +94,20 @@
         return m_document;
     }
 
-    // The highest version that the table service or a peer has shown. If it is above version(), the node should read the table soon. It stays above
-    // while the newer document cannot be read or fetched, so these reads need a pause between them.
+    // The highest version reported by the table service or a peer. If it is above version(), the gateway should read the table soon. It stays above while the
+    // newer document cannot be fetched or parsed, so these reads need a delay between them.
     uint64_t newestKnownVersion() const
     {
         return m_newestKnownVersion;
     }
 
-    // Why the latest offer with the result Invalid could not be read.
+    // The parse error of the latest offer with the result Invalid.
     const std::string &lastParseError() const
     {
         return m_lastParseError;
     }
 
-    // Time since the document in force was accepted on this node. Empty if there is none.
+    // Time since this gateway accepted the document in force. Empty if there is none.
     std::optional<std::chrono::milliseconds> age(MonotonicTime now) const;
 
     // Time since the table service last confirmed the version in force, directly or through peers. Empty if that never happened.
--- a/Libraries/LibEnvironment/DocumentTree.cpp
+++ b/Libraries/LibEnvironment/DocumentTree.cpp
@@ -23,7 +23,7 @@
 constexpr size_t MaxValues = 300000;
 constexpr size_t MaxScalarBytes = 1024;
 
-// Leaves yaml-cpp's parser from within a callback, which has no other way to stop it.
+// Thrown by callbacks to stop yaml-cpp's parser, which has no other way to be stopped.
 struct TreeError {
     DocumentPosition position;
     std::string text;
@@ -177,7 +177,7 @@
     return {.line = static_cast<int>(line), .column = static_cast<int>(offset - lineStart) + 1};
 }
 
-// The longest valid prefix of an invalid line ends where the first invalid byte stands.
+// Returns the offset of the first invalid byte, which is the length of the longest valid prefix of the line.
 size_t firstInvalidByte(std::string_view line)
 {
     constexpr size_t LongestSequence = 4;
@@ -214,7 +214,7 @@
     return makeError(ErrorKind::InvalidUtf8, "1:1: the text is not valid UTF-8");
 }
 
-// YAML 1.2, section 5.1, allows only these control characters. yaml-cpp also takes text with NUL bytes for UTF-16.
+// Rejects control characters other than those that YAML 1.2, section 5.1, allows. yaml-cpp would also take text with NUL bytes for UTF-16.
 absl::Status checkControlCharacters(std::string_view text)
 {
     const auto isForbidden = [](char c) {
--- a/Libraries/LibEnvironment/EnvironmentDocument.h
+++ b/Libraries/LibEnvironment/EnvironmentDocument.h
@@ -19,13 +19,13 @@
     Out,
 };
 
-// Whether another engine continues a generation exactly from its token log.
+// Whether another engine can continue a generation exactly from the tokens produced so far.
 enum class Continuation {
     None,
     Exact,
 };
 
-// Whether an engine rejects orders that carry an old fencing number.
+// Whether an engine rejects orders with an old fencing token.
 enum class Fencing {
     Honoured,
     Ignored,
@@ -58,7 +58,7 @@
 struct Model {
     Continuation continuation = Continuation::None;
     std::string version;
-    // Largest max_tokens that a request may ask for.
+    // Maximum of max_tokens in a request.
     uint32_t maxTokens = 4096;
 };
 
@@ -68,7 +68,7 @@
     std::string path;
     // A call that is not repeatable runs at most once per idempotency key.
     bool repeatable = false;
-    // Age up to which a cached answer may be served. Zero means that answers are not cached.
+    // Maximum age of a cached response. Zero disables caching.
     std::chrono::milliseconds maxCacheAge {0};
     std::chrono::milliseconds timeout {10000};
 };
@@ -77,7 +77,7 @@
     std::map<std::string, ServiceCall, std::less<>> calls;
 };
 
-// Larger numbers go first.
+// Higher numbers take precedence.
 struct Priorities {
     uint32_t draft = 8;
     uint32_t suggestion = 2;
@@ -98,7 +98,7 @@
     uint32_t retryPercent = 10;
 };
 
-// A model engine if it has models, an order desk if it has a service. Never both.
+// An engine if it has models, or a target of a plain service if it has a service. Never both.
 struct TargetEntry {
     // "address:port".
     std::string address;
@@ -108,9 +108,9 @@
     // Whether the engine resumes a stream at GET /generations/{id}?from=N.
     bool resume = true;
     Fencing fencing = Fencing::Ignored;
-    // Requests that the target can carry at once during a cold start.
+    // Maximum number of concurrent requests on the target during a cold start.
     uint32_t coldLimit = 1;
-    // Cache memory of the engine, in tokens. Zero for services.
+    // Capacity of the engine's KV cache in tokens. Zero for targets of plain services.
     uint64_t memoryTokens = 0;
 
     bool isEngine() const
@@ -119,7 +119,7 @@
     }
 };
 
-// An environment as operators describe it (docs/design.md, section 10). The maps are keyed by name.
+// The description of an environment that operators write (docs/design.md, section 10). The maps are keyed by name.
 struct EnvironmentDocument {
     std::string name;
     std::map<std::string, DataCentre, std::less<>> dataCentres;
@@ -138,7 +138,7 @@
 std::string_view nameOf(GenerationKind kind);
 std::string_view nameOf(CallMethod method);
 
-// Parses a document. Errors: ErrorKind::InvalidUtf8, or ErrorKind::InvalidDocument with one line "line:column: text" for every mistake found.
+// Parses a document. Errors: ErrorKind::InvalidUtf8, or ErrorKind::InvalidDocument with one line "line:column: text" for every error found.
 absl::StatusOr<EnvironmentDocument> parseEnvironmentDocument(std::string_view yaml);
 
 } // namespace Jujube
--- a/Libraries/LibEnvironment/MapReader.cpp
+++ b/Libraries/LibEnvironment/MapReader.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr size_t MaxNameBytes = 63;
-// Bounds the search for the nearest known key, whose cost grows with the number of unknown keys.
+// Limits the cost of the search for the nearest known key, which grows with the number of unknown keys.
 constexpr size_t MaxFields = 64;
 
 // Levenshtein distance: the smallest number of inserted, deleted and replaced bytes that turns one text into the other.
@@ -123,7 +123,7 @@
     }
     double seconds = 0;
     const bool isNumber = absl::SimpleAtod(node->text, &seconds);
-    // Written so that NaN fails.
+    // These comparisons are false for NaN, so NaN is rejected.
     const bool isInRange = seconds >= Seconds(low).count() && seconds <= Seconds(high).count();
     if (!isNumber || !isInRange) {
         report(*node, key, absl::StrCat("\"", node->text, "\" is not a number of seconds from ", Seconds(low).count(), " to ", Seconds(high).count()));
--- a/Libraries/LibEnvironment/MapReader.h
+++ b/Libraries/LibEnvironment/MapReader.h
@@ -12,20 +12,20 @@
 namespace Jujube
 {
 
-// Reads the fields of one map of a document. A field that is absent leaves its variable at the default; a field with a mistake is reported and leaves it too.
+// Reads the fields of one map of a document. The output variable keeps its value if the field is absent or invalid; an invalid field is reported.
 class MapReader
 {
 public:
-    // The path names the map in messages, for example "targets.engine-1". A null counts as an empty map.
+    // `path` identifies the map in error messages, for example "targets.engine-1". A null node counts as an empty map.
     MapReader(const DocumentNode &node, std::string path, DocumentErrors &errors);
 
     // Returns nothing if the key is absent.
     const DocumentNode *find(std::string_view key);
 
-    // Reports a mistake if the key is absent.
+    // Reports an error if the key is absent.
     const DocumentNode *require(std::string_view key);
 
-    // Also reports an empty text and one over the limit. Returns whether the variable was set.
+    // Reports an empty text or one over the limit as an error. Returns whether the variable was set.
     bool readText(std::string_view key, std::string &out, size_t maxBytes);
 
     template<typename Number>
@@ -36,12 +36,12 @@
         }
     }
 
-    // A field in seconds, with decimals, rounded to milliseconds.
+    // Reads a decimal number of seconds, rounded to milliseconds.
     void readSeconds(std::string_view key, std::chrono::milliseconds &out, std::chrono::milliseconds low, std::chrono::milliseconds high);
 
     void readBool(std::string_view key, bool &out);
 
-    // One of the words that nameOf() gives for the values.
+    // Reads one of the names that nameOf() returns for the values.
     template<typename Enum>
     void readEnum(std::string_view key, Enum &out, std::initializer_list<Enum> values)
     {
@@ -54,20 +54,20 @@
         }
     }
 
-    // A sequence of texts.
+    // Reads a sequence of scalars.
     std::vector<const DocumentNode *> readItems(std::string_view key, size_t maxItems);
 
-    // Calls the function for every entry of a map of named entries. Reports names that are not made of a-z, 0-9, '.', '_' and '-'.
+    // Calls the function for every entry of a map of named entries. Reports names for which isDocumentName() is false.
     using EntryFunction = std::function<void(const std::string &name, const DocumentNode &node, const std::string &path)>;
     void readEntries(std::string_view key, size_t maxEntries, const EntryFunction &function);
 
-    // Reports a mistake of a field.
+    // Reports an error in a field.
     void report(const DocumentNode &node, std::string_view key, std::string_view text);
 
-    // Reports a mistake of the whole map.
+    // Reports an error in the map as a whole.
     void report(std::string_view text);
 
-    // Reports every key that was never asked for, with the nearest one that was.
+    // Reports every unknown key, which is one that no other function was called for, together with the nearest known key.
     void finish();
 
 private:
@@ -83,7 +83,7 @@
     std::vector<std::string> m_knownKeys;
 };
 
-// Whether a name is acceptable for an environment or an entry. Names become parts of table keys, so they cannot have a slash.
+// Whether a name is valid for an environment or an entry: made of a-z, 0-9, '.', '_' and '-'. Names become parts of table keys, so a slash is not allowed.
 bool isDocumentName(std::string_view name);
 
 } // namespace Jujube
--- a/Tests/LibEnvironment/DemoDocument.h
+++ b/Tests/LibEnvironment/DemoDocument.h
@@ -17,7 +17,7 @@
     return text.str();
 }
 
-// The demo document with one piece of its text replaced.
+// The demo document with all occurrences of a text replaced. Fails the test if there is none.
 inline std::string demoYamlWith(const std::string &from, const std::string &to)
 {
     const auto yaml = demoYaml();
--- a/Tests/LibEnvironment/FakePlatform.cpp
+++ b/Tests/LibEnvironment/FakePlatform.cpp
@@ -92,7 +92,7 @@
     }
     const bool written = tryTransaction(parseJson(request.body)->at("writes"));
     m_down = fault == Fault::StopResponding;
-    // Without an answer the connection stays silent.
+    // With any other fault no response is sent.
     if (fault == Fault::None) {
         responder.sendJson(written ? 200 : 412, nlohmann::json::object());
     }
--- a/Tests/LibEnvironment/FakePlatform.h
+++ b/Tests/LibEnvironment/FakePlatform.h
@@ -8,18 +8,18 @@
 namespace Jujube
 {
 
-// The part of the platform that jujubectl uses, in memory, with faults.
+// An in-memory implementation of the part of the platform that jujubectl uses, with fault injection.
 class FakePlatform
 {
 public:
-    // What happens to a transaction.
+    // The fault injected into a transaction.
     enum class Fault {
         None,
-        // It takes effect, and its answer is lost.
+        // The transaction takes effect, and its response is lost.
         LoseResponse,
-        // It is answered with status 504 and has not taken effect, which the caller cannot know.
+        // The transaction does not take effect. The response has status 504, from which the client cannot know this.
         LoseRequest,
-        // The platform stops answering altogether, after it took effect.
+        // The transaction takes effect, its response is lost, and all later requests fail with status 503.
         StopResponding,
     };
 
@@ -36,21 +36,21 @@
         m_down = down;
     }
 
-    // Applies to the next transactions, in order.
+    // Sets the faults of the next transactions, in order.
     void setFaults(std::vector<Fault> faults)
     {
         const std::lock_guard lock(m_mutex);
         m_faults = std::move(faults);
     }
 
-    // Called once, before the next transaction is looked at.
+    // Sets a function that is called once, before the next transaction is processed.
     void beforeTransaction(std::function<void()> hook)
     {
         const std::lock_guard lock(m_mutex);
         m_hook = std::move(hook);
     }
 
-    // Writes a row without any condition.
+    // Writes a row unconditionally.
     void setRow(const std::string &key, const std::string &value);
 
     // Empty if there is no such row.
@@ -76,7 +76,7 @@
     std::vector<Fault> m_faults;
     std::function<void()> m_hook;
     bool m_down = false;
-    // Declared last, so that its threads end before anything that they use.
+    // Declared last, so that its threads end before the members that they use are destroyed.
     std::unique_ptr<HttpServer> m_server;
 };
 
--- a/Tests/LibEnvironment/TestConnectivityTracker.cpp
+++ b/Tests/LibEnvironment/TestConnectivityTracker.cpp
@@ -11,7 +11,7 @@
 
 const MonotonicTime Start {1h};
 
-// A gateway "g0" among others named g1, g2, ...
+// A tracker of the gateway g0, whose peers are g1, g2 and so on.
 ConnectivityTracker makeTracker(int members)
 {
     ConnectivityTracker tracker({.self = "g0"});
@@ -32,7 +32,7 @@
 
 } // namespace
 
-// Guards against new work on a gateway that has heard of nobody yet, and on one that was cut off for 3 s.
+// Guards against new work on a gateway that has had no contact yet, and on one without any contact for 3 s.
 TEST(ConnectivityTracker, IsIsolatedWithoutAnyContact)
 {
     auto tracker = makeTracker(8);
@@ -43,18 +43,18 @@
     EXPECT_EQ(tracker.permissions(Start + 3000ms), (ConnectivityPermissions {.newWork = false, .oneTimeCalls = false}));
 }
 
-// Guards against refusing work because one gateway's own link to the platform failed.
+// Guards against rejecting work only because the connection of one gateway to the platform failed.
 TEST(ConnectivityTracker, UsesThePlatformThroughPeers)
 {
     auto tracker = makeTracker(8);
     addReports(tracker, 1, 1, Start, 500ms);
     EXPECT_EQ(tracker.connectivity(Start + 2400ms), Connectivity::ThroughPeers);
     EXPECT_TRUE(tracker.permissions(Start + 2400ms).oneTimeCalls);
-    // The peer is still in contact, but its own answer of the platform is too old.
+    // The peer is still in contact, but its last response of the platform is too old.
     EXPECT_EQ(tracker.connectivity(Start + 2600ms), Connectivity::Minority);
 }
 
-// Guards against an outage of the platform stopping all gateways, and against one-time calls that cannot be recorded.
+// Guards against a platform outage that stops all gateways, and against one-time calls whose claims cannot be written.
 TEST(ConnectivityTracker, ServesWithAMajorityWhilePlatformIsDown)
 {
     for (const auto &[members, needed] : std::vector<std::pair<int, int>> {{2, 1}, {3, 1}, {4, 2}, {7, 3}, {8, 4}}) {
@@ -68,7 +68,7 @@
     }
 }
 
-// Guards against a minority that keeps acting on an old document, and against isolation for a short loss of a majority.
+// Guards against a minority that keeps using an old document, and against isolation after a short loss of the majority.
 TEST(ConnectivityTracker, IsIsolatedAfterTenSecondsInAMinority)
 {
     auto tracker = makeTracker(8);
@@ -83,21 +83,21 @@
     EXPECT_EQ(tracker.connectivity(Start + 10s), Connectivity::PlatformDown);
 }
 
-// Guards against a frozen process that starts new work when it wakes, before it has heard anything.
-TEST(ConnectivityTracker, IsIsolatedWhenItWakesFromAPause)
+// Guards against a process that starts new work after a freeze, before it has had new contact.
+TEST(ConnectivityTracker, IsIsolatedAfterAFreeze)
 {
     auto tracker = makeTracker(8);
     tracker.platformResponded(Start);
     addReports(tracker, 1, 7, Start, 0ms);
     EXPECT_EQ(tracker.connectivity(Start + 60s), Connectivity::Isolated);
-    // The answer of a request that was sent before the pause says nothing about the time since.
+    // The response to a request sent before the freeze says nothing about the time after that.
     tracker.platformResponded(Start + 1s);
     EXPECT_EQ(tracker.connectivity(Start + 60s), Connectivity::Isolated);
     tracker.platformResponded(Start + 60s);
     EXPECT_EQ(tracker.connectivity(Start + 60s), Connectivity::Connected);
 }
 
-// Guards against a majority made up of strangers or of members that are gone, and against a late report that takes back contact.
+// Guards against a majority that includes unknown gateways, and against an old report that arrives late and replaces a newer one.
 TEST(ConnectivityTracker, CountsMembersOnly)
 {
     auto tracker = makeTracker(4);
@@ -109,7 +109,7 @@
     EXPECT_EQ(tracker.membersInContact(Start + 1s), 3);
 }
 
-// Guards against gateways that stop serving at once because new members, not heard yet, were added.
+// Guards against gateways that stop serving as soon as new members are added, with which there is no contact yet.
 TEST(ConnectivityTracker, KeepsTheMajorityBeforeAChangeOfMembers)
 {
     auto tracker = makeTracker(4);
--- a/Tests/LibEnvironment/TestDocumentDiff.cpp
+++ b/Tests/LibEnvironment/TestDocumentDiff.cpp
@@ -25,8 +25,8 @@
 
 } // namespace
 
-// Guards against an operator who is shown no change, another change, or changes of layout only.
-TEST(DocumentDiff, ShowsChangesInEffect)
+// Guards against a diff that omits a change, shows a wrong one, or shows changes of comments and omitted defaults.
+TEST(DocumentDiff, ShowsEffectiveChanges)
 {
     EXPECT_THAT(diffTexts(demoYaml(), "# comment\n" + demoYamlWith("state: in, ", "")), IsEmpty());
     EXPECT_THAT(diffTexts(demoYaml(), demoYamlWith("state: in, region: lahore", "state: out, region: lahore")),
@@ -38,7 +38,7 @@
     EXPECT_THAT(diffDocuments({}, *parseEnvironmentDocument(demoYaml())), testing::Contains("+ environment: name demo"));
 }
 
-// Guards against a field that the comparison leaves out: each row changes one field, which must be shown as exactly one changed line.
+// Guards against a field that the comparison omits. Each row changes one field, which must give exactly one line.
 TEST(DocumentDiff, ComparesEveryField)
 {
     const std::vector<std::pair<std::string, std::string>> rows {
@@ -75,7 +75,7 @@
     }
 }
 
-// Guards against a head that another process cannot read back, and against a damaged head being taken for version 0.
+// Guards against a head that another process cannot parse, and against a damaged head that is accepted as version 0.
 TEST(DocumentHead, ReadsWhatItWrote)
 {
     const DocumentHead head {.version = 7, .digest = "d", .object = "o", .author = "amina", .timeMs = 12};
--- a/Tests/LibEnvironment/TestDocumentParser.cpp
+++ b/Tests/LibEnvironment/TestDocumentParser.cpp
@@ -17,7 +17,7 @@
 using testing::HasSubstr;
 using testing::StartsWith;
 
-// The mistakes of a document, one per line; empty if it is valid.
+// The errors of a document, one per line. Empty if it is valid.
 std::string errorsOf(const std::string &yaml)
 {
     const auto document = parseEnvironmentDocument(yaml);
@@ -35,8 +35,8 @@
 
 } // namespace
 
-// Guards against an example that the parser no longer accepts, or reads with other values than it states.
-TEST(DocumentParser, ReadsTheDemo)
+// Guards against a parser that rejects the demo document or reads wrong values from it.
+TEST(DocumentParser, ReadsTheDemoDocument)
 {
     const auto document = parseEnvironmentDocument(demoYaml());
     ASSERT_TRUE(document.ok()) << document.status();
@@ -54,8 +54,8 @@
     EXPECT_EQ(document->targets.at("desk-1").service, "order-desk");
 }
 
-// Guards against an author who has to correct mistakes one at a time, and against wrong positions.
-TEST(DocumentParser, ReportsAllMistakesWithLineAndColumn)
+// Guards against reporting only the first error of a document, and against wrong positions.
+TEST(DocumentParser, ReportsAllErrorsWithLineAndColumn)
 {
     const std::string yaml = "environment: Demo\n"
                              "data_centres:\n"
@@ -77,8 +77,8 @@
               "10:20: targets.e.memory_tokens: \"-1\" is not a whole number from 1 to 1000000000");
 }
 
-// Guards against each single rule being lost: every row breaks one rule of a valid document.
-TEST(DocumentParser, RejectsEachBrokenRule)
+// Guards against the loss of a validation rule. Each row violates one rule in an otherwise valid document.
+TEST(DocumentParser, RejectsViolationsOfEachRule)
 {
     struct Row {
         std::string from;
@@ -143,7 +143,7 @@
     EXPECT_THAT(errorsOf(manyKeys), HasSubstr("has more than 64 fields"));
 }
 
-// Guards against invalid UTF-8 being accepted, or reported at the wrong place.
+// Guards against invalid UTF-8 that is accepted or reported at the wrong position.
 TEST(DocumentParser, FindsInvalidUtf8)
 {
     const auto document = parseEnvironmentDocument("environment: demo\nregion: \xd9\xbe\xd9\x86\xff\n");
@@ -151,8 +151,9 @@
     EXPECT_THAT(std::string(document.status().message()), StartsWith("2:13: "));
 }
 
-// Guards against a crash on damaged documents: parts of the demo are cut, doubled, moved and overwritten. The result is an answer of either kind.
-RC_GTEST_PROP(DocumentParser, AnswersEveryDamagedDocument, ())
+// Guards against a crash on damaged documents: parts of the demo document are cut, duplicated, moved and overwritten. The parser must accept the result or
+// reject it with a message.
+RC_GTEST_PROP(DocumentParser, AcceptsOrRejectsEveryDamagedDocument, ())
 {
     static const std::string demo = demoYaml();
     auto yaml = demo;
--- a/Tests/LibEnvironment/TestDocumentTracker.cpp
+++ b/Tests/LibEnvironment/TestDocumentTracker.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-// Guards against an older, damaged or unreadable document replacing the one in force, whatever its source.
+// Guards against an older, damaged or invalid document that replaces the one in force, whatever its source.
 TEST(DocumentTracker, AcceptsOnlyNewerIntactDocuments)
 {
     DocumentTracker tracker;
@@ -64,12 +64,12 @@
     EXPECT_EQ(tracker.age(Start + 2s), 2s);
     tracker.peerVersionReceived(1, 4s, Start + 5s);
     EXPECT_EQ(tracker.confirmedAge(Start + 5s), 4s + DocumentTracker::PeerDelayAllowance);
-    // An older confirmation does not take back a newer one.
+    // An older confirmation does not replace a newer one.
     tracker.peerVersionReceived(1, 60s, Start + 5s);
     EXPECT_EQ(tracker.confirmedAge(Start + 5s), 4s + DocumentTracker::PeerDelayAllowance);
     tracker.tableHeadReceived(1, sha256Hex("one"), Start + 5s);
     EXPECT_EQ(tracker.confirmedAge(Start + 6s), 1s);
-    // Neither a newer head nor a table that went back confirms the version in force.
+    // Neither a newer head nor an older one, from a restored table, confirms the version in force.
     tracker.tableHeadReceived(2, sha256Hex("two"), Start + 7s);
     tracker.tableHeadReceived(0, "", Start + 7s);
     tracker.peerVersionReceived(3, 0s, Start + 7s);
@@ -79,7 +79,7 @@
     EXPECT_EQ(tracker.confirmedAge(Start + 8s), std::nullopt);
 }
 
-// Guards against two nodes that renew each other's confirmation while the table service is down.
+// Guards against two gateways that renew each other's confirmation while the table service is down.
 TEST(DocumentTracker, DoesNotRenewAConfirmationBetweenPeers)
 {
     constexpr auto Delay = 400ms;
@@ -99,9 +99,9 @@
     EXPECT_EQ(*a.confirmedAge(now), now - Start);
 }
 
-// Guards against any order of offers and observations that makes a node go back: the version in force never falls, its digest always matches its bytes, and
-// each version stands for one text.
-RC_GTEST_PROP(DocumentTracker, NeverGoesBack, ())
+// Guards against a sequence of offers and observations that brings back an older document: the version in force never decreases, its digest always matches its
+// bytes, and each version has only one text.
+RC_GTEST_PROP(DocumentTracker, NeverReturnsToAnOlderVersion, ())
 {
     DocumentTracker tracker(parseAnything);
     std::map<uint64_t, std::string> inForce;
--- a/Tests/LibEnvironment/TestJujubectl.cpp
+++ b/Tests/LibEnvironment/TestJujubectl.cpp
@@ -17,7 +17,7 @@
 using testing::Not;
 using Fault = FakePlatform::Fault;
 
-// What a command printed, and its exit code.
+// The exit code and the output of a command.
 struct CommandResult {
     ExitCode code = ExitCode::Failed;
     std::string out;
@@ -75,7 +75,7 @@
 
 } // namespace
 
-// Guards against a document with mistakes reaching the platform, and against messages without file, line and column.
+// Guards against an invalid document that reaches the platform, and against error messages without file, line and column.
 TEST_F(JujubectlTest, ChecksFilesBeforeAnythingElse)
 {
     EXPECT_EQ(run({"check", m_demo}).code, ExitCode::Done);
@@ -111,8 +111,8 @@
     EXPECT_THAT(run({"diff", "2", "1", "--environment=demo"}).out, HasSubstr("out -> in"));
 }
 
-// Guards against one operator overwriting the change of another one, seen before or only at the write.
-TEST_F(JujubectlTest, TellsTheLoserOfARaceTheDifference)
+// Guards against an operator who overwrites the change of another one. The conflict is detected before the write or by the write itself.
+TEST_F(JujubectlTest, ShowsTheDifferenceOnAVersionConflict)
 {
     run({"apply", m_demo});
     const auto out = writeFile("out.yaml", m_lahoreOutYaml);
@@ -131,8 +131,8 @@
     EXPECT_EQ(head("demo").digest, sha256Hex(demoYamlWith("retry_percent: 10", "retry_percent: 5")));
 }
 
-// Guards against a lost answer being reported as a failure or leading to a second version.
-TEST_F(JujubectlTest, ResolvesALostAnswer)
+// Guards against a lost response that is reported as a failure or leads to a second version.
+TEST_F(JujubectlTest, ResolvesALostResponse)
 {
     m_platform.setFaults({Fault::LoseResponse});
     EXPECT_EQ(run({"apply", m_demo}).code, ExitCode::Done);
@@ -143,7 +143,7 @@
     EXPECT_EQ(run({"apply", out}).code, ExitCode::Done);
     EXPECT_EQ(head("demo").version, 2);
 
-    // Another operator has moved the head on before the read-back.
+    // Another operator writes a newer head before the head is read back.
     m_platform.setFaults({Fault::LoseRequest});
     const auto other = writeFile("other.yaml", demoYamlWith("retry_percent: 10", "retry_percent: 5"));
     m_platform.beforeTransaction([this, other] { m_platform.beforeTransaction([this, other] { run({"apply", other}); }); });
@@ -151,8 +151,8 @@
     EXPECT_EQ(head("demo").version, 3);
 }
 
-// Guards against "nothing was changed" being said when the write may have taken effect.
-TEST_F(JujubectlTest, TellsUnavailableFromUnknown)
+// Guards against the message "nothing was changed" after a write that may have taken effect.
+TEST_F(JujubectlTest, DistinguishesUnavailableFromUnknown)
 {
     m_platform.setDown(true);
     EXPECT_EQ(run({"apply", m_demo}).code, ExitCode::PlatformUnavailable);
@@ -165,7 +165,7 @@
     EXPECT_EQ(head("demo").version, 1);
 }
 
-// Guards against a promotion of other bytes than those that were on trial.
+// Guards against the promotion of a document other than the one on trial.
 TEST_F(JujubectlTest, PromotesTheDigestOnTrial)
 {
     EXPECT_EQ(run({"promote", "trial", "production"}).code, ExitCode::NotFound);
@@ -184,7 +184,7 @@
     EXPECT_EQ(head("production").version, 1);
 }
 
-// Guards against a gateway that is missing, outdated or on another document being counted as up to date.
+// Guards against counting a gateway as up to date that is missing, has an older version or has another document.
 TEST_F(JujubectlTest, ShowsTheVersionOfEveryGateway)
 {
     run({"apply", m_demo});
