--- a/Libraries/LibEnvironment/DocumentMistakes.h
+++ b/Libraries/LibEnvironment/DocumentErrors.h
@@ -6,27 +6,27 @@
 namespace Jujube
 {
 
-// Collects all mistakes of a document, so that the author sees them at once.
-class DocumentMistakes
+// Collects all errors of a document, so that its author sees them at once.
+class DocumentErrors
 {
 public:
     void add(DocumentPosition position, std::string text);
 
     bool empty() const
     {
-        return m_mistakes.empty();
+        return m_errors.empty();
     }
 
-    // Ok if there are none. Otherwise ErrorKind::InvalidDocument with one line "line:column: text" per mistake, in the order of the text.
+    // Ok if there are none. Otherwise ErrorKind::InvalidDocument with one line "line:column: text" per error, ordered by position.
     absl::Status toStatus() const;
 
 private:
-    struct Mistake {
+    struct DocumentError {
         DocumentPosition position;
         std::string text;
     };
 
-    std::vector<Mistake> m_mistakes;
+    std::vector<DocumentError> m_errors;
 };
 
 } // namespace Jujube
--- a/Libraries/LibEnvironment/DocumentParser.h
+++ b/Libraries/LibEnvironment/DocumentParser.h
@@ -6,12 +6,12 @@
 namespace Jujube
 {
 
-// Reads the sections of a document from its tree, and checks values and the references between sections.
+// Reads the sections of a document from its tree, and validates the values and the references between sections.
 class DocumentParser
 {
 public:
-    explicit DocumentParser(DocumentMistakes &mistakes)
-        : m_mistakes(mistakes)
+    explicit DocumentParser(DocumentErrors &errors)
+        : m_errors(errors)
     {
     }
 
@@ -29,12 +29,12 @@
     void readGatewayLimits(MapReader &root);
     void readTarget(const std::string &name, const DocumentNode &node, const std::string &path);
     void readAddress(MapReader &reader, const std::string &name, std::string &address);
-    void readDuties(MapReader &reader, TargetEntry &target);
+    void readModelsAndService(MapReader &reader, TargetEntry &target);
     void readEngineFields(MapReader &reader, TargetEntry &target);
 
-    DocumentMistakes &m_mistakes;
+    DocumentErrors &m_errors;
     EnvironmentDocument m_document;
-    // Which workspace or target uses a key hash or an address first.
+    // The first workspace with a key hash, and the first target with an address.
     std::map<std::string, std::string> m_keyHashOwners;
     std::map<std::string, std::string> m_addressOwners;
 };
--- a/Libraries/LibGateway/UpstreamStream.h
+++ b/Libraries/LibGateway/EngineStream.h
@@ -10,20 +10,20 @@
 namespace Jujube
 {
 
-// The stream of one generation from one engine. The client's thread fills a bounded ring with the bytes; the thread that serves the caller empties it. A full
-// ring pauses the connection, so that a caller that reads slowly slows its engine stream down instead of filling memory.
-class UpstreamStream
+// The response stream of one generation from one engine. The thread of the HTTP client writes the bytes to a bounded ring buffer, and the thread that serves
+// the caller reads them. Reading from the connection stops while the buffer is full, so that a slow caller slows its engine down instead of filling memory.
+class EngineStream
 {
 public:
     using Piece = std::variant<std::string, EngineStreamEnd>;
 
     // Starts the call. The client must outlive the stream.
-    UpstreamStream(HttpClient &client, HttpCall call);
+    EngineStream(HttpClient &client, HttpCall call);
 
     // Cancels the call if it has not ended.
-    ~UpstreamStream();
-    UpstreamStream(const UpstreamStream &) = delete;
-    UpstreamStream &operator=(const UpstreamStream &) = delete;
+    ~EngineStream();
+    EngineStream(const EngineStream &) = delete;
+    EngineStream &operator=(const EngineStream &) = delete;
 
     // Waits for bytes or for the end, for at most the given time.
     std::optional<Piece> next(std::chrono::milliseconds timeout);
@@ -42,7 +42,7 @@
     EngineLineParser m_parser;
 };
 
-// What an answer's end and status mean for a generation.
-EngineStreamEnd upstreamEndOf(const HttpAnswer &answer);
+// Maps the end and the status of a response to the end of an engine's stream.
+EngineStreamEnd engineStreamEndOf(const HttpAnswer &response);
 
 } // namespace Jujube
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibGateway/GenerationHandler.h>
-#include <LibGateway/PermitKeeper.h>
+#include <LibGateway/PermitManager.h>
 #include <LibGateway/ServiceHandler.h>
 #include <LibGateway/WorkspaceAdmission.h>
 #include <LibHttp/HttpServer.h>
@@ -9,7 +9,7 @@
 namespace Jujube
 {
 
-// A whole gateway: its parts, its threads and its HTTP interface.
+// A gateway process with its threads and its HTTP interface.
 class Gateway
 {
 public:
@@ -25,10 +25,10 @@
         return m_server->address();
     }
 
-    // Begins a graceful shutdown: new requests are refused as not run, running ones go on.
+    // Begins a graceful shutdown: new requests are rejected, running requests continue.
     void drain();
 
-    // Whether all requests have finished and all outcomes are recorded.
+    // Whether all requests have finished and all outcomes of one-time calls are recorded.
     bool isDrained();
 
 private:
@@ -38,13 +38,13 @@
     absl::Status startMembership();
     void startDocuments();
     void startPermits();
-    DocumentKeeper::PeerSnapshot peerSnapshot() const;
+    DocumentUpdater::PeerSnapshot peerSnapshot() const;
     void onVmList(const std::vector<Vm> &vms) const;
     void publishOwnState(uint64_t version, std::optional<std::chrono::milliseconds> confirmedAge, std::optional<MonotonicTime> platformAt);
 
     void handle(const HttpRequest &request, HttpResponder &responder);
     void handleCaller(const HttpRequest &request, HttpResponder &responder);
-    // Returns false if the path is not one for operators.
+    // Serves the endpoints for operators. Returns false if the request is not for one of them.
     bool handleOperator(const HttpRequest &request, HttpResponder &responder);
     void sendDocument(HttpResponder &responder) const;
     void sendReadiness(HttpResponder &responder) const;
@@ -52,12 +52,12 @@
     void serveCaller(const HttpRequest &request, const Caller &caller, HttpResponder &responder);
     void listGateways(HttpResponder &responder) const;
 
-    // Tells this process from an earlier one under the same name.
+    // Distinguishes this process from earlier ones with the same name.
     const int64_t m_incarnation;
     GatewayParts m_parts;
     WorkspaceAdmission m_admission;
     std::unique_ptr<TableClient> m_table;
-    std::unique_ptr<PermitKeeper> m_permits;
+    std::unique_ptr<PermitManager> m_permits;
     std::unique_ptr<GenerationHandler> m_generations;
     std::unique_ptr<ServiceHandler> m_services;
     std::unique_ptr<HttpServer> m_server;
--- a/Libraries/LibGateway/GenerationHandler.cpp
+++ b/Libraries/LibGateway/GenerationHandler.cpp
@@ -23,7 +23,7 @@
     if (cursor->workspace != caller.workspace || cursor->bodyDigest != bodyDigest(request.body)) {
         return makeError(ErrorKind::InvalidCursor, "the event id belongs to another request");
     }
-    // Later events of this process sort behind those of the gateway that issued the event id.
+    // Advances the clock, so that later events of this process sort after those of the gateway that issued the event id.
     m_parts.events->observe(cursor->time, wallMsNow());
     return *std::move(cursor);
 }
@@ -32,12 +32,12 @@
 {
     const auto cursor = readCursor(request, caller);
     if (!cursor.ok()) {
-        refuse(m_parts, responder, Problem::fromStatus(cursor.status()), {});
+        respondWithProblem(m_parts, responder, Problem::fromStatus(cursor.status()), {});
         return;
     }
     const auto body = parseGenerationBody(request.body, caller.document->document);
     if (!body.ok()) {
-        refuse(m_parts, responder, Problem::fromStatus(body.status()), {});
+        respondWithProblem(m_parts, responder, Problem::fromStatus(body.status()), {});
         return;
     }
     const auto generation = *cursor ? (*cursor)->generation : generationIdFor(caller.workspace, request.header("idempotency-key"), request.body);
--- a/Libraries/LibGateway/RequestContext.cpp
+++ b/Libraries/LibGateway/RequestContext.cpp
@@ -6,7 +6,7 @@
 namespace Jujube
 {
 
-absl::StatusOr<Caller> authenticate(const HttpRequest &request, const DocumentKeeper &documents)
+absl::StatusOr<Caller> authenticate(const HttpRequest &request, const DocumentUpdater &documents)
 {
     constexpr std::string_view Scheme = "Bearer ";
     const auto document = documents.current();
@@ -19,12 +19,12 @@
     }
     const auto found = document->workspaceByKeyHash.find(sha256Hex(header.substr(Scheme.size())));
     if (found == document->workspaceByKeyHash.end()) {
-        return makeError(ErrorKind::Unauthorized, "the key is not known");
+        return makeError(ErrorKind::Unauthorized, "the bearer key is unknown");
     }
     return Caller {.workspace = found->second, .document = document};
 }
 
-void refuse(const GatewayParts &parts, HttpResponder &responder, const Problem &problem, const std::string &request)
+void respondWithProblem(const GatewayParts &parts, HttpResponder &responder, const Problem &problem, const std::string &request)
 {
     const std::string name(errorKindInfo(problem.kind).name);
     parts.metrics->count("jujube_refusals_total", absl::StrCat("kind=\"", name, "\""));
--- a/Tests/LibEnvironment/FakePlatform.cpp
+++ b/Tests/LibEnvironment/FakePlatform.cpp
@@ -91,8 +91,8 @@
         return;
     }
     const bool written = tryTransaction(parseJson(request.body)->at("writes"));
-    m_down = fault == Fault::Die;
-    // Without an answer the connection stays silent.
+    m_down = fault == Fault::StopResponding;
+    // With any other fault no response is sent.
     if (fault == Fault::None) {
         responder.sendJson(written ? 200 : 412, nlohmann::json::object());
     }
--- a/Tests/LibEnvironment/TestDocumentParser.cpp
+++ b/Tests/LibEnvironment/TestDocumentParser.cpp
@@ -17,8 +17,8 @@
 using testing::HasSubstr;
 using testing::StartsWith;
 
-// The mistakes of a document, one per line; empty if it is valid.
-std::string mistakesOf(const std::string &yaml)
+// The errors of a document, one per line. Empty if it is valid.
+std::string errorsOf(const std::string &yaml)
 {
     const auto document = parseEnvironmentDocument(yaml);
     return document.ok() ? "" : std::string(document.status().message());
@@ -35,8 +35,8 @@
 
 } // namespace
 
-// Guards against an example that the parser no longer accepts, or reads with other values than it states.
-TEST(DocumentParser, ReadsTheDemo)
+// Guards against a parser that rejects the demo document or reads wrong values from it.
+TEST(DocumentParser, ReadsTheDemoDocument)
 {
     const auto document = parseEnvironmentDocument(demoYaml());
     ASSERT_TRUE(document.ok()) << document.status();
@@ -48,14 +48,14 @@
     const auto &calls = document->services.at("order-desk").calls;
     EXPECT_FALSE(calls.at("capture").repeatable);
     EXPECT_EQ(calls.at("status").method, CallMethod::Get);
-    EXPECT_EQ(calls.at("status").fresh, std::chrono::seconds(2));
+    EXPECT_EQ(calls.at("status").maxCacheAge, std::chrono::seconds(2));
     EXPECT_EQ(document->targets.size(), 5);
     EXPECT_EQ(document->targets.at("engine-4").fencing, Fencing::Ignored);
     EXPECT_EQ(document->targets.at("desk-1").service, "order-desk");
 }
 
-// Guards against an author who has to correct mistakes one at a time, and against wrong positions.
-TEST(DocumentParser, ReportsAllMistakesWithLineAndColumn)
+// Guards against reporting only the first error of a document, and against wrong positions.
+TEST(DocumentParser, ReportsAllErrorsWithLineAndColumn)
 {
     const std::string yaml = "environment: Demo\n"
                              "data_centres:\n"
@@ -67,7 +67,7 @@
                              "    data_centre: multan\n"
                              "    models: [naqsh]\n"
                              "    memory_tokens: -1\n";
-    EXPECT_EQ(mistakesOf(yaml),
+    EXPECT_EQ(errorsOf(yaml),
               "1:14: environment: must be a name from a-z, 0-9, '.', '_' and '-'\n"
               "3:19: data_centres.lahore.state: \"gone\" is not one of in, out\n"
               "4:1: modles: unknown key; the nearest known key is \"models\"\n"
@@ -77,13 +77,13 @@
               "10:20: targets.e.memory_tokens: \"-1\" is not a whole number from 1 to 1000000000");
 }
 
-// Guards against each single rule being lost: every row breaks one rule of a valid document.
-TEST(DocumentParser, RejectsEachBrokenRule)
+// Guards against the loss of a validation rule. Each row violates one rule in an otherwise valid document.
+TEST(DocumentParser, RejectsViolationsOfEachRule)
 {
     struct Row {
         std::string from;
         std::string to;
-        std::string mistake;
+        std::string error;
     };
     const std::string hash = sha256Hex("demo-key-trial");
     const std::vector<Row> rows {
@@ -116,34 +116,34 @@
         {"priorities: {draft: 8, suggestion: 2}", "priorities: 8", "must be a map of fields"},
     };
     for (const auto &row : rows) {
-        EXPECT_THAT(mistakesOf(demoYamlWith(row.from, row.to)), HasSubstr(row.mistake)) << row.to;
+        EXPECT_THAT(errorsOf(demoYamlWith(row.from, row.to)), HasSubstr(row.error)) << row.to;
     }
 }
 
 // Guards against a crash, unbounded recursion or unbounded memory on hostile input.
 TEST(DocumentParser, RejectsHostileInput)
 {
-    EXPECT_THAT(mistakesOf(repeat("[", 100000)), HasSubstr("nested more than"));
-    EXPECT_THAT(mistakesOf(repeat("{a: ", 100000)), HasSubstr("nested more than"));
-    EXPECT_THAT(mistakesOf(repeat("- ", 100000)), HasSubstr("nested more than"));
-    EXPECT_THAT(mistakesOf("a: &x [1]\nb: *x\n"), StartsWith("1:4: anchors are not allowed"));
-    EXPECT_THAT(mistakesOf("a: !!binary aGk=\n"), HasSubstr("tags are not allowed"));
-    EXPECT_THAT(mistakesOf("environment: a\n---\nenvironment: b\n"), StartsWith("2:1: a second document"));
-    EXPECT_THAT(mistakesOf("environment: " + std::string(100000, 'x')), HasSubstr("over the limit"));
-    EXPECT_THAT(mistakesOf(std::string(MaxDocumentBytes + 1, ' ')), HasSubstr("the limit is"));
-    EXPECT_THAT(mistakesOf(repeat("- \n", 320000)), HasSubstr("more than 300000 values"));
-    EXPECT_THAT(mistakesOf("? [a]\n: b\n"), HasSubstr("a key must be a text"));
-    EXPECT_THAT(mistakesOf("a: b\nc: \x01\n"), StartsWith("2:4: the text has a control character"));
-    EXPECT_THAT(mistakesOf("a: 'b\n"), HasSubstr("1:"));
-    EXPECT_THAT(mistakesOf(""), HasSubstr("\"environment\" is required"));
+    EXPECT_THAT(errorsOf(repeat("[", 100000)), HasSubstr("nested more than"));
+    EXPECT_THAT(errorsOf(repeat("{a: ", 100000)), HasSubstr("nested more than"));
+    EXPECT_THAT(errorsOf(repeat("- ", 100000)), HasSubstr("nested more than"));
+    EXPECT_THAT(errorsOf("a: &x [1]\nb: *x\n"), StartsWith("1:4: anchors are not allowed"));
+    EXPECT_THAT(errorsOf("a: !!binary aGk=\n"), HasSubstr("tags are not allowed"));
+    EXPECT_THAT(errorsOf("environment: a\n---\nenvironment: b\n"), StartsWith("2:1: a second document"));
+    EXPECT_THAT(errorsOf("environment: " + std::string(100000, 'x')), HasSubstr("over the limit"));
+    EXPECT_THAT(errorsOf(std::string(MaxDocumentBytes + 1, ' ')), HasSubstr("the limit is"));
+    EXPECT_THAT(errorsOf(repeat("- \n", 320000)), HasSubstr("more than 300000 values"));
+    EXPECT_THAT(errorsOf("? [a]\n: b\n"), HasSubstr("a key must be a text"));
+    EXPECT_THAT(errorsOf("a: b\nc: \x01\n"), StartsWith("2:4: the text has a control character"));
+    EXPECT_THAT(errorsOf("a: 'b\n"), HasSubstr("1:"));
+    EXPECT_THAT(errorsOf(""), HasSubstr("\"environment\" is required"));
     std::string manyKeys;
     for (int i = 0; i < 50000; ++i) {
         absl::StrAppend(&manyKeys, "k", i, ": 1\n");
     }
-    EXPECT_THAT(mistakesOf(manyKeys), HasSubstr("has more than 64 fields"));
+    EXPECT_THAT(errorsOf(manyKeys), HasSubstr("has more than 64 fields"));
 }
 
-// Guards against invalid UTF-8 being accepted, or reported at the wrong place.
+// Guards against invalid UTF-8 that is accepted or reported at the wrong position.
 TEST(DocumentParser, FindsInvalidUtf8)
 {
     const auto document = parseEnvironmentDocument("environment: demo\nregion: \xd9\xbe\xd9\x86\xff\n");
@@ -151,8 +151,9 @@
     EXPECT_THAT(std::string(document.status().message()), StartsWith("2:13: "));
 }
 
-// Guards against a crash on damaged documents: parts of the demo are cut, doubled, moved and overwritten. The result is an answer of either kind.
-RC_GTEST_PROP(DocumentParser, AnswersEveryDamagedDocument, ())
+// Guards against a crash on damaged documents: parts of the demo document are cut, duplicated, moved and overwritten. The parser must accept the result or
+// reject it with a message.
+RC_GTEST_PROP(DocumentParser, AcceptsOrRejectsEveryDamagedDocument, ())
 {
     static const std::string demo = demoYaml();
     auto yaml = demo;
--- a/Tests/LibEnvironment/TestJujubectl.cpp
+++ b/Tests/LibEnvironment/TestJujubectl.cpp
@@ -17,8 +17,8 @@
 using testing::Not;
 using Fault = FakePlatform::Fault;
 
-// What a command printed, and its exit code.
-struct Outcome {
+// The exit code and the output of a command.
+struct CommandResult {
     ExitCode code = ExitCode::Failed;
     std::string out;
     std::string error;
@@ -27,7 +27,7 @@
 class JujubectlTest : public testing::Test
 {
 protected:
-    Outcome run(std::vector<std::string> words)
+    CommandResult run(std::vector<std::string> words)
     {
         words.insert(words.begin(), {"jujubectl", "--platform=" + m_platform.address(), "--author=amina", "--wait-s=0", "--timeout-ms=2000"});
         std::vector<const char *> argv;
@@ -59,7 +59,7 @@
 
     FakePlatform m_platform;
     const std::string m_demo = std::string(JUJUBE_SOURCE_DIRECTORY) + "/examples/demo.yaml";
-    const std::string m_outText = demoYamlWith("state: in, region: lahore", "state: out, region: lahore");
+    const std::string m_lahoreOutYaml = demoYamlWith("state: in, region: lahore", "state: out, region: lahore");
     int64_t m_wallMs = 0;
 };
 
@@ -75,7 +75,7 @@
 
 } // namespace
 
-// Guards against a document with mistakes reaching the platform, and against messages without file, line and column.
+// Guards against an invalid document that reaches the platform, and against error messages without file, line and column.
 TEST_F(JujubectlTest, ChecksFilesBeforeAnythingElse)
 {
     EXPECT_EQ(run({"check", m_demo}).code, ExitCode::Done);
@@ -102,7 +102,7 @@
     EXPECT_EQ(run({"apply", m_demo}).code, ExitCode::Done);
     EXPECT_EQ(head("demo").version, 1);
 
-    const auto out = writeFile("out.yaml", m_outText);
+    const auto out = writeFile("out.yaml", m_lahoreOutYaml);
     EXPECT_THAT(run({"diff", out}).out, HasSubstr("~ data_centres.lahore.state: in -> out"));
     EXPECT_THAT(run({"apply", out, "--base-version=1"}).out, HasSubstr("~ data_centres.lahore.state: in -> out"));
     EXPECT_EQ(head("demo").version, 2);
@@ -111,11 +111,11 @@
     EXPECT_THAT(run({"diff", "2", "1", "--environment=demo"}).out, HasSubstr("out -> in"));
 }
 
-// Guards against one operator overwriting the change of another one, seen before or only at the write.
-TEST_F(JujubectlTest, TellsTheLoserOfARaceTheDifference)
+// Guards against an operator who overwrites the change of another one. The conflict is detected before the write or by the write itself.
+TEST_F(JujubectlTest, ShowsTheDifferenceOnAVersionConflict)
 {
     run({"apply", m_demo});
-    const auto out = writeFile("out.yaml", m_outText);
+    const auto out = writeFile("out.yaml", m_lahoreOutYaml);
     const auto other = writeFile("other.yaml", demoYamlWith("retry_percent: 10", "retry_percent: 5"));
     m_platform.beforeTransaction([this, other] { EXPECT_EQ(run({"apply", other}).code, ExitCode::Done); });
     const auto loser = run({"apply", out});
@@ -131,19 +131,19 @@
     EXPECT_EQ(head("demo").digest, sha256Hex(demoYamlWith("retry_percent: 10", "retry_percent: 5")));
 }
 
-// Guards against a lost answer being reported as a failure or leading to a second version.
-TEST_F(JujubectlTest, ResolvesALostAnswer)
+// Guards against a lost response that is reported as a failure or leads to a second version.
+TEST_F(JujubectlTest, ResolvesALostResponse)
 {
-    m_platform.setFaults({Fault::LoseAnswer});
+    m_platform.setFaults({Fault::LoseResponse});
     EXPECT_EQ(run({"apply", m_demo}).code, ExitCode::Done);
     EXPECT_EQ(head("demo").version, 1);
 
-    const auto out = writeFile("out.yaml", m_outText);
-    m_platform.setFaults({Fault::LoseRequest, Fault::LoseRequest, Fault::LoseAnswer});
+    const auto out = writeFile("out.yaml", m_lahoreOutYaml);
+    m_platform.setFaults({Fault::LoseRequest, Fault::LoseRequest, Fault::LoseResponse});
     EXPECT_EQ(run({"apply", out}).code, ExitCode::Done);
     EXPECT_EQ(head("demo").version, 2);
 
-    // Another operator has moved the head on before the read-back.
+    // Another operator writes a newer head before the head is read back.
     m_platform.setFaults({Fault::LoseRequest});
     const auto other = writeFile("other.yaml", demoYamlWith("retry_percent: 10", "retry_percent: 5"));
     m_platform.beforeTransaction([this, other] { m_platform.beforeTransaction([this, other] { run({"apply", other}); }); });
@@ -151,13 +151,13 @@
     EXPECT_EQ(head("demo").version, 3);
 }
 
-// Guards against "nothing was changed" being said when the write may have taken effect.
-TEST_F(JujubectlTest, TellsUnavailableFromUnknown)
+// Guards against the message "nothing was changed" after a write that may have taken effect.
+TEST_F(JujubectlTest, DistinguishesUnavailableFromUnknown)
 {
     m_platform.setDown(true);
     EXPECT_EQ(run({"apply", m_demo}).code, ExitCode::PlatformUnavailable);
     m_platform.setDown(false);
-    m_platform.setFaults({Fault::Die});
+    m_platform.setFaults({Fault::StopResponding});
     const auto unknown = run({"apply", m_demo});
     EXPECT_EQ(unknown.code, ExitCode::OutcomeUnknown);
     EXPECT_THAT(unknown.error, HasSubstr("jujubectl history demo"));
@@ -165,26 +165,26 @@
     EXPECT_EQ(head("demo").version, 1);
 }
 
-// Guards against a promotion of other bytes than those that were on trial.
+// Guards against the promotion of a document other than the one on trial.
 TEST_F(JujubectlTest, PromotesTheDigestOnTrial)
 {
     EXPECT_EQ(run({"promote", "trial", "production"}).code, ExitCode::NotFound);
     run({"apply", m_demo, "--environment=trial"});
-    const auto tried = head("trial");
+    const auto trialHead = head("trial");
     EXPECT_EQ(run({"promote", "trial", "production", "--digest=" + sha256Hex("another")}).code, ExitCode::VersionConflict);
     EXPECT_EQ(run({"promote", "trial", "production", "--base-version=3"}).code, ExitCode::VersionConflict);
-    EXPECT_EQ(run({"promote", "trial", "production", "--digest=" + tried.digest}).code, ExitCode::Done);
+    EXPECT_EQ(run({"promote", "trial", "production", "--digest=" + trialHead.digest}).code, ExitCode::Done);
     EXPECT_EQ(head("production").version, 1);
-    EXPECT_EQ(head("production").digest, tried.digest);
+    EXPECT_EQ(head("production").digest, trialHead.digest);
 
-    const auto out = writeFile("out.yaml", m_outText);
+    const auto out = writeFile("out.yaml", m_lahoreOutYaml);
     run({"apply", out, "--environment=trial"});
     m_platform.objects[head("trial").object] += "#";
     EXPECT_EQ(run({"promote", "trial", "production"}).code, ExitCode::Failed);
     EXPECT_EQ(head("production").version, 1);
 }
 
-// Guards against a gateway that is missing, outdated or on another document being counted as up to date.
+// Guards against counting a gateway as up to date that is missing, has an older version or has another document.
 TEST_F(JujubectlTest, ShowsTheVersionOfEveryGateway)
 {
     run({"apply", m_demo});
