--- a/Libraries/LibGateway/GenerationStream.cpp
+++ b/Libraries/LibGateway/GenerationStream.cpp
@@ -164,7 +164,7 @@
         // All usable targets run other crash suspects. Their runs will end, or the suspicion against them will be cleared.
         return m_session.onPlacementDelayed(now + SuspectRetryDelay, now);
     }
-    return m_session.onPlacementRejected({.kind = refused.kind, .detail = "no target has room for this request", .retryAfter = refused.retryAfter}, now);
+    return m_session.onPlacementRejected({.kind = refused.kind, .detail = "no target has capacity for this request", .retryAfter = refused.retryAfter}, now);
 }
 
 HttpCall GenerationStream::generateCall(const std::string &address, const Generate &action) const
--- a/Libraries/LibPlatform/VmListClient.cpp
+++ b/Libraries/LibPlatform/VmListClient.cpp
@@ -18,9 +18,9 @@
 
 absl::StatusOr<Vm> vmFromJson(const nlohmann::json &json)
 {
-    const bool hasTexts = json.is_object() && hasText(json, "name") && hasText(json, "address") && hasText(json, "data_centre") && hasText(json, "role")
+    const bool hasStringFields = json.is_object() && hasText(json, "name") && hasText(json, "address") && hasText(json, "data_centre") && hasText(json, "role")
         && hasText(json, "state");
-    if (!hasTexts || !json.contains("incarnation") || !json["incarnation"].is_number_unsigned()) {
+    if (!hasStringFields || !json.contains("incarnation") || !json["incarnation"].is_number_unsigned()) {
         return makeError(ErrorKind::InvalidValue, "an entry of the VM list lacks a field or has a field of the wrong type");
     }
     const auto state = json["state"].get<std::string>();
--- a/Libraries/LibPolicy/MemoryForecastChoice.cpp
+++ b/Libraries/LibPolicy/MemoryForecastChoice.cpp
@@ -169,8 +169,8 @@
 double MemoryForecastPolicy::otherRunsOn(TargetIndex index) const
 {
     const auto &target = fleet().target(index);
-    const bool besideIsolated = std::ranges::any_of(ownOn(index), [](const OwnGeneration *own) { return own->isolated; });
-    return std::max(target.load.running, target.ownRunning) + (besideIsolated ? IsolatedRunEquivalent : 0.0);
+    const bool hasIsolatedRun = std::ranges::any_of(ownOn(index), [](const OwnGeneration *own) { return own->isolated; });
+    return std::max(target.load.running, target.ownRunning) + (hasIsolatedRun ? IsolatedRunEquivalent : 0.0);
 }
 
 // Memory that trial work must leave free on the target: the target's share of the paying demand, less the paying work that it already has.
--- a/Libraries/LibRelay/ColdTargetRateLimiter.cpp
+++ b/Libraries/LibRelay/ColdTargetRateLimiter.cpp
@@ -22,20 +22,20 @@
     return std::max(1, static_cast<int>(std::floor(OvercommitFactor * relayShare(coldPerSecond, liveRelays))));
 }
 
-int ColdTargetRateLimiter::coldShare(double coldPerSecond, const ColdRateParticipants &sharers, std::string_view target)
+int ColdTargetRateLimiter::coldShare(double coldPerSecond, const ColdRateParticipants &participants, std::string_view target)
 {
-    if (!sharers.hasDiscoveredPeers) {
+    if (!participants.hasDiscoveredPeers) {
         return 0;
     }
     const auto starts = std::max<size_t>(1, static_cast<size_t>(std::floor(OvercommitFactor * coldPerSecond)));
-    const auto gateways = sharers.others.size() + 1;
+    const auto gateways = participants.others.size() + 1;
     if (gateways < starts) {
         return share(coldPerSecond, static_cast<int>(gateways));
     }
     const auto salt = XXH3_64bits(target.data(), target.size());
     const auto order = [salt](uint64_t gateway) { return SplitMix(gateway ^ salt).next(); };
-    const auto own = order(sharers.self);
-    const auto before = std::count_if(sharers.others.begin(), sharers.others.end(), [&](uint64_t other) { return order(other) < own; });
+    const auto own = order(participants.self);
+    const auto before = std::count_if(participants.others.begin(), participants.others.end(), [&](uint64_t other) { return order(other) < own; });
     return static_cast<size_t>(before) < starts ? 1 : 0;
 }
 
--- a/Libraries/LibRelay/ColdTargetRateLimiter.h
+++ b/Libraries/LibRelay/ColdTargetRateLimiter.h
@@ -33,7 +33,7 @@
     // Maximum number of requests that this relay starts within a second at a target that is not known to be cold.
     static int share(double coldPerSecond, int liveRelays);
     // The same for a target that may be cold. Zero if its starts are assigned to other relays.
-    static int coldShare(double coldPerSecond, const ColdRateParticipants &sharers, std::string_view target);
+    static int coldShare(double coldPerSecond, const ColdRateParticipants &participants, std::string_view target);
 
     bool isWithinShare(const std::string &target, int share, MonotonicTime now) const;
     void recordStart(const std::string &target, MonotonicTime now);
--- a/Libraries/LibRelay/PeerTable.cpp
+++ b/Libraries/LibRelay/PeerTable.cpp
@@ -34,42 +34,41 @@
     m_addresses.try_emplace(address, Address {.addedAt = now});
 }
 
-PeerTable::Change PeerTable::handleHeartbeat(const PeerHeartbeat &heartbeatMessage, MonotonicTime now)
+PeerTable::Change PeerTable::handleHeartbeat(const PeerHeartbeat &heartbeat, MonotonicTime now)
 {
-    if (heartbeatMessage.peers == m_options.ownAddress) {
+    if (heartbeat.peers == m_options.ownAddress) {
         return Change::None;
     }
-    const auto found = m_peers.find(heartbeatMessage.node);
+    const auto found = m_peers.find(heartbeat.node);
     if (found != m_peers.end()) {
-        const auto &last = found->second.heartbeatMessage;
-        const bool isOlder = heartbeatMessage.incarnation < last.incarnation
-            || (heartbeatMessage.incarnation == last.incarnation && heartbeatMessage.sequence <= last.sequence);
+        const auto &last = found->second.latestHeartbeat;
+        const bool isOlder = heartbeat.incarnation < last.incarnation || (heartbeat.incarnation == last.incarnation && heartbeat.sequence <= last.sequence);
         if (isOlder) {
             return Change::Stale;
         }
     }
-    if (heartbeatMessage.onlyLoads) {
-        if (found == m_peers.end() || found->second.heartbeatMessage.incarnation != heartbeatMessage.incarnation) {
+    if (heartbeat.onlyLoads) {
+        if (found == m_peers.end() || found->second.latestHeartbeat.incarnation != heartbeat.incarnation) {
             return Change::Stale;
         }
-        found->second.heartbeatMessage.sequence = heartbeatMessage.sequence;
-        if (m_live.contains(heartbeatMessage.node)) {
+        found->second.latestHeartbeat.sequence = heartbeat.sequence;
+        if (m_live.contains(heartbeat.node)) {
             found->second.receivedAt = now;
-            m_addresses[heartbeatMessage.peers].receivedAt = now;
+            m_addresses[heartbeat.peers].receivedAt = now;
         }
         return Change::None;
     }
-    addAddress(heartbeatMessage.peers, now);
-    auto &address = m_addresses[heartbeatMessage.peers];
+    addAddress(heartbeat.peers, now);
+    auto &address = m_addresses[heartbeat.peers];
     address.hasBeenHeard = true;
     address.receivedAt = now;
-    address.silenceTimeout = silenceTimeoutOf(heartbeatMessage);
-    address.isInOwnRegion = isInRegion(heartbeatMessage.dataCentre);
-    for (const auto &known : heartbeatMessage.known) {
+    address.silenceTimeout = silenceTimeoutOf(heartbeat);
+    address.isInOwnRegion = isInRegion(heartbeat.dataCentre);
+    for (const auto &known : heartbeat.known) {
         addAddress(known, now);
     }
-    m_peers[heartbeatMessage.node] = {.heartbeatMessage = heartbeatMessage, .receivedAt = now};
-    if (!m_live.insert(heartbeatMessage.node).second) {
+    m_peers[heartbeat.node] = {.latestHeartbeat = heartbeat, .receivedAt = now};
+    if (!m_live.insert(heartbeat.node).second) {
         return Change::None;
     }
     updateColdRateParticipants(now);
@@ -108,26 +107,26 @@
 std::vector<const Peer *> PeerTable::livePeersInRegion(MonotonicTime now) const
 {
     auto result = livePeers(now);
-    std::erase_if(result, [&](const Peer *peer) { return !isInRegion(peer->heartbeatMessage.dataCentre); });
+    std::erase_if(result, [&](const Peer *peer) { return !isInRegion(peer->latestHeartbeat.dataCentre); });
     return result;
 }
 
 bool PeerTable::isRegionRepresentative(const std::string &ownName, MonotonicTime now) const
 {
     return std::none_of(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
-        return entry.first <= ownName && isAlive(entry.second, now) && isInRegion(entry.second.heartbeatMessage.dataCentre);
+        return entry.first <= ownName && isAlive(entry.second, now) && isInRegion(entry.second.latestHeartbeat.dataCentre);
     });
 }
 
-std::chrono::milliseconds PeerTable::silenceTimeoutOf(const PeerHeartbeat &heartbeatMessage) const
+std::chrono::milliseconds PeerTable::silenceTimeoutOf(const PeerHeartbeat &heartbeat) const
 {
-    const auto announced = std::chrono::duration_cast<std::chrono::milliseconds>(HeartbeatsUntilSilent * heartbeatMessage.heartbeatInterval);
+    const auto announced = std::chrono::duration_cast<std::chrono::milliseconds>(HeartbeatsUntilSilent * heartbeat.heartbeatInterval);
     return std::max(m_options.silenceTimeout, std::min(announced, m_options.maxSilenceTimeout));
 }
 
 bool PeerTable::isAlive(const Peer &peer, MonotonicTime now) const
 {
-    return now - peer.receivedAt < silenceTimeoutOf(peer.heartbeatMessage);
+    return now - peer.receivedAt < silenceTimeoutOf(peer.latestHeartbeat);
 }
 
 std::vector<std::string> PeerTable::expire(MonotonicTime now)
@@ -183,7 +182,7 @@
     const auto live = livePeers(now);
     std::vector<std::string> result;
     for (size_t index = 0; index < std::min(maxCount, live.size()); ++index) {
-        result.push_back(live[(random + index) % live.size()]->heartbeatMessage.peers);
+        result.push_back(live[(random + index) % live.size()]->latestHeartbeat.peers);
     }
     return result;
 }
--- a/Libraries/LibRelay/PeerTable.h
+++ b/Libraries/LibRelay/PeerTable.h
@@ -52,7 +52,7 @@
 
 // Another relay, as described by its latest heartbeat. Its loads on targets are kept by the TargetBalancer.
 struct Peer {
-    PeerHeartbeat heartbeatMessage;
+    PeerHeartbeat latestHeartbeat;
     MonotonicTime receivedAt;
 };
 
@@ -90,7 +90,7 @@
 
     void addAddress(const std::string &address, MonotonicTime now);
     // Processes a heartbeat. One with loads only has no effect but to show that its sender is alive; it is stale if its sender is not known.
-    Change handleHeartbeat(const PeerHeartbeat &heartbeatMessage, MonotonicTime now);
+    Change handleHeartbeat(const PeerHeartbeat &heartbeat, MonotonicTime now);
 
     // Which relays get a heartbeat.
     enum class RecipientScope {
@@ -130,7 +130,7 @@
     };
 
     bool isInRegion(const std::string &dataCentre) const;
-    std::chrono::milliseconds silenceTimeoutOf(const PeerHeartbeat &heartbeatMessage) const;
+    std::chrono::milliseconds silenceTimeoutOf(const PeerHeartbeat &heartbeat) const;
     bool isAlive(const Peer &peer, MonotonicTime now) const;
     void updateColdRateParticipants(MonotonicTime now);
 
--- a/Libraries/LibRelay/RelayAdmission.h
+++ b/Libraries/LibRelay/RelayAdmission.h
@@ -10,7 +10,7 @@
 namespace Jujube
 {
 
-// The attributes of a request, decoded from its head. The texts point into the head.
+// The attributes of a request, decoded from its header section. The texts point into the header section.
 struct RequestAttributes {
     std::string_view id;
     std::string_view host;
--- a/Libraries/LibRelay/RelaySession.cpp
+++ b/Libraries/LibRelay/RelaySession.cpp
@@ -62,35 +62,35 @@
     ++m_attempts;
     m_isContinuation = m_hasBegun;
     m_backup = m_hooks.chooseBackup(target, now);
-    m_hooks.send({.target = target,
-                  .attempt = m_attempts,
-                  .timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(m_request.deadline - now),
-                  .lastEventId = m_events.lastId(),
-                  .kvCacheSource = kvCacheSource,
-                  .backup = m_backup});
+    m_hooks.sendAttempt({.target = target,
+                         .attempt = m_attempts,
+                         .timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(m_request.deadline - now),
+                         .lastEventId = m_events.lastId(),
+                         .kvCacheSource = kvCacheSource,
+                         .backup = m_backup});
 }
 
-bool RelaySession::onHead(const TargetResponse &answer, MonotonicTime now)
+bool RelaySession::onHead(const TargetResponse &response, MonotonicTime now)
 {
     if (m_isOver) {
         return false;
     }
-    if (answer.notRun || answer.misdirected) {
+    if (response.notRun || response.misdirected) {
         onFailure(ExchangeResult::Broken, true, now);
         return false;
     }
     m_mayHaveRun = true;
     // A success without the target's seal is not the target's complete response.
-    if (!answer.sealed && (isSuccess(answer.status) || m_isContinuation)) {
+    if (!response.sealed && (isSuccess(response.status) || m_isContinuation)) {
         onFailure(ExchangeResult::Broken, false, now);
         return false;
     }
     // Bytes of another format must not follow the events that the caller has received.
-    if (m_isContinuation && (!isSuccess(answer.status) || (m_request.kind == RouteKind::Stream && !answer.isStream))) {
+    if (m_isContinuation && (!isSuccess(response.status) || (m_request.kind == RouteKind::Stream && !response.isStream))) {
         onFailure(ExchangeResult::Broken, false, now);
         return false;
     }
-    if (answer.status >= FirstServerError && !m_hasBegun && m_request.isRepeatable() && m_runs + 1 < m_request.maxAttempts) {
+    if (response.status >= FirstServerError && !m_hasBegun && m_request.isRepeatable() && m_runs + 1 < m_request.maxAttempts) {
         ++m_runs;
         m_excluded.insert(m_target->id);
         if (tryRetry("server error", true, now)) {
@@ -99,7 +99,7 @@
         --m_runs;
         m_excluded.erase(m_target->id);
     }
-    m_response = answer;
+    m_response = response;
     m_isResponseAccepted = true;
     return true;
 }
@@ -140,7 +140,7 @@
         m_hooks.abortAttempt();
         m_hooks.record("cut", "events out of order");
         m_isOver = true;
-        m_hooks.cut(RelayOutcome::ResponseBroken);
+        m_hooks.cutResponse(RelayOutcome::ResponseBroken);
         return;
     }
     if (m_events.isTooLong()) {
@@ -298,10 +298,10 @@
     m_isOver = true;
     m_hooks.abortAttempt();
     if (m_hasBegun) {
-        m_hooks.cut(RelayOutcome::ResponseBroken);
+        m_hooks.cutResponse(RelayOutcome::ResponseBroken);
         return;
     }
-    m_hooks.answer(outcome, retryAfter);
+    m_hooks.respond(outcome, retryAfter);
 }
 
 void RelaySession::onTargetLeaving(MonotonicTime now)
@@ -328,7 +328,7 @@
     m_destination = *destination;
     m_migration = Migration::Copying;
     m_hooks.record("copy", m_destination.id);
-    m_hooks.copy(*m_target, m_destination, false);
+    m_hooks.startCopy(*m_target, m_destination, false);
 }
 
 void RelaySession::onCopied(const CopyResult &result, MonotonicTime now)
@@ -341,7 +341,7 @@
             m_migration = Migration::Stopping;
             m_source = *m_target;
             m_hooks.record("stop_and_copy", m_destination.id);
-            m_hooks.copy(m_source, m_destination, true);
+            m_hooks.startCopy(m_source, m_destination, true);
             return;
         }
         m_migration = Migration::None;
--- a/Libraries/LibRelay/RelaySession.h
+++ b/Libraries/LibRelay/RelaySession.h
@@ -84,7 +84,7 @@
     int64_t eventsProduced = 0;
 };
 
-// The parts of a target's response head on which decisions depend.
+// The parts of the header section of a target's response on which decisions depend.
 struct TargetResponse {
     int status = 0;
     // Whether the target reports that it did not run the request.
@@ -126,19 +126,19 @@
         std::function<bool(const RelayTarget &target, MonotonicTime now)> mayContinue;
         // Takes one retry from the budget of the service. Returns false if none is left.
         std::function<bool(MonotonicTime now)> tryTakeRetry;
-        std::function<void(const RelayAttempt &send)> send;
+        std::function<void(const RelayAttempt &send)> sendAttempt;
         // Ends the current exchange with a target by closing its connection.
         std::function<void()> abortAttempt;
         // Orders the engine that runs the generation to copy it; the result is passed to onCopied().
-        std::function<void(const RelayTarget &source, const RelayTarget &destination, bool stop)> copy;
-        // Passes the head of the target's current response on to the caller. Without a length the body follows in chunks.
+        std::function<void(const RelayTarget &source, const RelayTarget &destination, bool stop)> startCopy;
+        // Passes the header section of the target's current response on to the caller. Without a length the body follows in chunks.
         std::function<void(std::optional<uint64_t> length)> beginResponse;
         std::function<void(std::string_view bytes)> write;
         std::function<void()> finishResponse;
         // Ends the request with a response of the relay's own.
-        std::function<void(RelayOutcome outcome, std::chrono::milliseconds retryAfter)> answer;
+        std::function<void(RelayOutcome outcome, std::chrono::milliseconds retryAfter)> respond;
         // Closes the caller's connection, because the response has begun and cannot be completed.
-        std::function<void(RelayOutcome outcome)> cut;
+        std::function<void(RelayOutcome outcome)> cutResponse;
         // Logs a decision and its reason.
         std::function<void(std::string_view decision, std::string_view reason)> record;
     };
@@ -147,8 +147,9 @@
 
     void start(MonotonicTime now);
 
-    // The head of a response to the current attempt. Returns false if the response is not to be read any further; the driver then closes the connection.
-    bool onHead(const TargetResponse &answer, MonotonicTime now);
+    // The header section of a response to the current attempt. Returns false if the response is not to be read any further; the driver then closes the
+    // connection.
+    bool onHead(const TargetResponse &response, MonotonicTime now);
     void onBody(std::string_view bytes, MonotonicTime now);
     void onEnd(ExchangeResult result, MonotonicTime now);
 
@@ -236,14 +237,14 @@
     TargetResponse m_response;
     // Whether a response to the current attempt has been accepted.
     bool m_isResponseAccepted = false;
-    // Whether the caller has received the head of a response.
+    // Whether the caller has received the header section of a response.
     bool m_hasBegun = false;
     // Retry-After time of a rejection, from the last choice that found no target.
     std::chrono::milliseconds m_retryAfter {300};
     // Whether a byte of the request may have reached a target that did not report that it had not run it.
     bool m_mayHaveRun = false;
     bool m_isOver = false;
-    // Whether the exchange continues a generation whose response head the caller has already received.
+    // Whether the exchange continues a generation, and the caller has already received the header section of its response.
     bool m_isContinuation = false;
     int m_attempts = 0;
     int m_runs = 0;
--- a/Libraries/LibRelayServer/PeerLink.cpp
+++ b/Libraries/LibRelayServer/PeerLink.cpp
@@ -81,31 +81,31 @@
 void PeerLink::onDatagram(std::string_view datagram, MonotonicTime now)
 {
     m_core.metrics.count("relay_heartbeats_received_total");
-    auto heartbeatMessage = decodePeerHeartbeat(datagram);
-    if (!heartbeatMessage) {
+    auto heartbeat = decodePeerHeartbeat(datagram);
+    if (!heartbeat) {
         m_core.metrics.count("relay_peer_datagrams_malformed_total");
         return;
     }
-    auto loads = std::exchange(heartbeatMessage->loads, {});
-    const auto change = m_core.peers.handleHeartbeat(*heartbeatMessage, now);
+    auto loads = std::exchange(heartbeat->loads, {});
+    const auto change = m_core.peers.handleHeartbeat(*heartbeat, now);
     if (change == PeerTable::Change::Stale) {
         return;
     }
-    m_core.balancer.setPeerLoads(heartbeatMessage->node, std::move(loads));
+    m_core.balancer.setPeerLoads(heartbeat->node, std::move(loads));
     m_core.releaseWaitingMigrations(now);
-    if (heartbeatMessage->onlyLoads) {
+    if (heartbeat->onlyLoads) {
         return;
     }
-    m_hooks.onTargetState(*heartbeatMessage, now);
-    for (const auto &crash : heartbeatMessage->crashes) {
+    m_hooks.onTargetState(*heartbeat, now);
+    for (const auto &crash : heartbeat->crashes) {
         m_core.crashSuspects.merge(crash, now);
     }
-    m_hooks.onNewerDocument(*heartbeatMessage);
+    m_hooks.onDocumentVersion(*heartbeat);
     if (change == PeerTable::Change::Joined) {
         auto line = m_core.line(EventKind::PeerJoined);
-        line.add("peer", heartbeatMessage->node).add("address", heartbeatMessage->callers);
+        line.add("peer", heartbeat->node).add("address", heartbeat->callers);
         m_core.log(line);
-        sendKnownAddresses(heartbeatMessage->peers, now);
+        sendKnownAddresses(heartbeat->peers, now);
     }
 }
 
@@ -121,12 +121,12 @@
     m_socket.send_to(boost::asio::buffer(encodePeerHeartbeat(introduction)), endpoint->udp(), 0, ignored);
 }
 
-void PeerLink::scheduleHeartbeat(NotificationScope audience)
+void PeerLink::scheduleHeartbeat(NotificationScope scope)
 {
-    if (audience == NotificationScope::None) {
+    if (scope == NotificationScope::None) {
         return;
     }
-    m_isScheduledForAll = m_isScheduledForAll || audience == NotificationScope::All;
+    m_isScheduledForAll = m_isScheduledForAll || scope == NotificationScope::All;
     if (!m_isHeartbeatScheduled) {
         m_isHeartbeatScheduled = true;
         armTimer(EarlyHeartbeatDelay);
@@ -209,13 +209,13 @@
     return m_core.peers.liveRelayCount(now) <= MaxSmallFleetSize;
 }
 
-void PeerLink::sendHeartbeat(NotificationScope audience, MonotonicTime now)
+void PeerLink::sendHeartbeat(NotificationScope scope, MonotonicTime now)
 {
     auto heartbeat = buildHeartbeat(now);
     heartbeat.heartbeatInterval = heartbeatInterval(now);
     auto datagram = encodePeerHeartbeat(heartbeat);
     sendTo(PeerTable::RecipientScope::Region, datagram, now);
-    if (audience == NotificationScope::Region) {
+    if (scope == NotificationScope::Region) {
         return;
     }
     if (!shouldSendToAllRegions(now)) {
@@ -228,9 +228,9 @@
     sendTo(PeerTable::RecipientScope::OutsideRegion, datagram, now);
 }
 
-void PeerLink::sendTo(PeerTable::RecipientScope reach, const std::string &datagram, MonotonicTime now)
+void PeerLink::sendTo(PeerTable::RecipientScope scope, const std::string &datagram, MonotonicTime now)
 {
-    for (const auto &address : m_core.peers.recipients(reach, now)) {
+    for (const auto &address : m_core.peers.recipients(scope, now)) {
         if (const auto endpoint = Endpoint::parse(address)) {
             // A datagram that cannot be sent is treated as lost; the next heartbeat follows.
             LoopError ignored;
@@ -247,7 +247,7 @@
     }
     std::vector<std::vector<TargetLoad>> others;
     for (const auto *peer : m_core.peers.livePeersInRegion(now)) {
-        others.push_back(m_core.balancer.peerLoads(peer->heartbeatMessage.node));
+        others.push_back(m_core.balancer.peerLoads(peer->latestHeartbeat.node));
     }
     return loadsForOtherRegions(own, others);
 }
--- a/Libraries/LibRelayServer/PeerLink.h
+++ b/Libraries/LibRelayServer/PeerLink.h
@@ -13,11 +13,11 @@
 public:
     struct Hooks {
         // Called with each heartbeat; the receiver compares the version of the peer's document table with its own.
-        std::function<void(const PeerHeartbeat &heartbeatMessage)> onNewerDocument;
+        std::function<void(const PeerHeartbeat &heartbeat)> onDocumentVersion;
         // A peer has reported its changes of targets.
-        std::function<void(const PeerHeartbeat &heartbeatMessage, MonotonicTime now)> onTargetState;
+        std::function<void(const PeerHeartbeat &heartbeat, MonotonicTime now)> onTargetState;
         // Adds the state of the store's tables to this relay's heartbeat.
-        std::function<void(PeerHeartbeat &heartbeatMessage, MonotonicTime now)> addTableState;
+        std::function<void(PeerHeartbeat &heartbeat, MonotonicTime now)> addTableState;
         // Whether this relay reads the store on behalf of others.
         std::function<bool()> isReading;
     };
@@ -28,7 +28,7 @@
     absl::Status start();
 
     // Sends a heartbeat before the next one is due, because peers should know of a change.
-    void scheduleHeartbeat(NotificationScope audience);
+    void scheduleHeartbeat(NotificationScope scope);
 
     // Notifies the relays that use the same targets most of a change of this relay's load. In a large fleet each relay places one or two calls a second, which
     // end before most peers are notified, so only placements of generations are reported at once there.
@@ -43,10 +43,10 @@
     void onHeartbeatDue();
     // Sends the addresses of other relays to a relay whose first heartbeat was received.
     void sendKnownAddresses(const std::string &address, MonotonicTime now);
-    void sendHeartbeat(NotificationScope audience, MonotonicTime now);
+    void sendHeartbeat(NotificationScope scope, MonotonicTime now);
     // Sends a short message with only the loads.
     void sendLoads(MonotonicTime now);
-    void sendTo(PeerTable::RecipientScope reach, const std::string &datagram, MonotonicTime now);
+    void sendTo(PeerTable::RecipientScope scope, const std::string &datagram, MonotonicTime now);
     bool isSmallFleet(MonotonicTime now) const;
     // Whether every heartbeat is sent to all regions.
     bool shouldSendToAllRegions(MonotonicTime now) const;
--- a/Libraries/LibRelayServer/Relay.cpp
+++ b/Libraries/LibRelayServer/Relay.cpp
@@ -48,16 +48,16 @@
     : m_core(loop, std::move(options), std::move(adapter), lines)
     , m_settings(std::move(settings))
     , m_peers(m_core,
-              {.onNewerDocument = [this](const PeerHeartbeat &heartbeatMessage) { onPeerDocument(heartbeatMessage); },
-               .onTargetState = [this](const PeerHeartbeat &heartbeatMessage, MonotonicTime now) { onPeerTargets(heartbeatMessage, now); },
+              {.onDocumentVersion = [this](const PeerHeartbeat &heartbeat) { onPeerDocument(heartbeat); },
+               .onTargetState = [this](const PeerHeartbeat &heartbeat, MonotonicTime now) { onPeerTargets(heartbeat, now); },
                .addTableState =
-                   [this](PeerHeartbeat &heartbeatMessage, MonotonicTime now) {
-                       heartbeatMessage.documentTableVersion = m_documents->changeVersion();
-                       heartbeatMessage.targetsDigest = m_core.targets.digest();
-                       heartbeatMessage.targetsVersion = m_targets->version();
-                       heartbeatMessage.targetsAge = m_targets->age(now);
-                       heartbeatMessage.reading = isReadingSuccessfully(now);
-                       heartbeatMessage.trying = isTryingStore(ownReadState(), now);
+                   [this](PeerHeartbeat &heartbeat, MonotonicTime now) {
+                       heartbeat.documentTableVersion = m_documents->changeVersion();
+                       heartbeat.targetsDigest = m_core.targets.digest();
+                       heartbeat.targetsVersion = m_targets->version();
+                       heartbeat.targetsAge = m_targets->age(now);
+                       heartbeat.reading = isReadingSuccessfully(now);
+                       heartbeat.trying = isTryingStore(ownReadState(), now);
                    },
                .isReading = [this] { return m_readers.isReading(); }})
     , m_timer(loop)
@@ -173,8 +173,8 @@
         add(m_core.options.callers.toText(), m_core.options.dataCentre);
     }
     for (const auto *peer : m_core.peers.livePeers(now)) {
-        if (peer->heartbeatMessage.accepting) {
-            add(peer->heartbeatMessage.callers, peer->heartbeatMessage.dataCentre);
+        if (peer->latestHeartbeat.accepting) {
+            add(peer->latestHeartbeat.callers, peer->latestHeartbeat.dataCentre);
         }
     }
     if (nearest.size() < MinAddresses) {
@@ -269,7 +269,7 @@
     auto sources = ownReadState();
     sources.heartbeatInterval = m_peers.heartbeatInterval(now);
     const auto peers = m_core.peers.livePeers(now);
-    sources.hasReadingPeer = std::any_of(peers.begin(), peers.end(), [](const Peer *peer) { return peer->heartbeatMessage.reading; });
+    sources.hasReadingPeer = std::any_of(peers.begin(), peers.end(), [](const Peer *peer) { return peer->latestHeartbeat.reading; });
     return sources;
 }
 
--- a/Libraries/LibRelayServer/Relay.h
+++ b/Libraries/LibRelayServer/Relay.h
@@ -60,10 +60,10 @@
     std::vector<std::string> addressesFor(const std::string &dataCentre, const std::string &region, MonotonicTime now) const;
     void requestDocumentFromPeer(TableFollower &follower, const std::string &table, const std::string &address);
     void requestTargetsIfUnavailable(MonotonicTime now);
-    void onPeerDocument(const PeerHeartbeat &heartbeatMessage);
-    void onPeerTargets(const PeerHeartbeat &heartbeatMessage, MonotonicTime now);
+    void onPeerDocument(const PeerHeartbeat &heartbeat);
+    void onPeerTargets(const PeerHeartbeat &heartbeat, MonotonicTime now);
     bool shouldRead(MonotonicTime now);
-    void requestTargetsFromPeer(const PeerHeartbeat &heartbeatMessage);
+    void requestTargetsFromPeer(const PeerHeartbeat &heartbeat);
     void applyPeerTargets(const std::vector<TargetEntry> &entries, int64_t version, MonotonicTime now);
     void tick();
     // While no relay reads the target list, reads the state of the engines that run migratable generations, to detect engines that are leaving.
@@ -96,7 +96,7 @@
     bool m_isRequestingTargets = false;
     StoreReaderElection m_readers;
     // Since when the target list of a peer that reads the store has differed from this relay's.
-    std::optional<MonotonicTime> m_differsSince;
+    std::optional<MonotonicTime> m_targetListDiffersSince;
 };
 
 } // namespace Jujube
--- a/Libraries/LibRelayServer/RelayCore.cpp
+++ b/Libraries/LibRelayServer/RelayCore.cpp
@@ -121,9 +121,9 @@
     // Relays in the target's data centre migrate first, because their copies are started and stopped in the shortest time.
     const bool ownIsFar = options.dataCentre != known->entry.dataCentre;
     for (const auto *peer : peers.livePeers(now)) {
-        const auto movable = balancer.peerLoad(peer->heartbeatMessage.node, target).movable;
-        const bool isFar = peer->heartbeatMessage.dataCentre != known->entry.dataCentre;
-        if (movable > 0 && std::tie(isFar, peer->heartbeatMessage.node) < std::tie(ownIsFar, options.node)) {
+        const auto movable = balancer.peerLoad(peer->latestHeartbeat.node, target).movable;
+        const bool isFar = peer->latestHeartbeat.dataCentre != known->entry.dataCentre;
+        if (movable > 0 && std::tie(isFar, peer->latestHeartbeat.node) < std::tie(ownIsFar, options.node)) {
             wait += std::chrono::milliseconds(static_cast<int64_t>(MillisecondsPerSecond * engine.secondsToSend(movable))) + CopyOverhead;
         }
     }
--- a/Libraries/LibRelayServer/RelayExchange.cpp
+++ b/Libraries/LibRelayServer/RelayExchange.cpp
@@ -147,9 +147,9 @@
                              .mayContinue = [this](const RelayTarget &target, MonotonicTime now) { return mayContinue(target, now); },
                              .tryTakeRetry
                              = [this](MonotonicTime now) { return m_core.retryBudget(m_admission.service->name).tryRetry(m_core.liveRelays(now), now); },
-                             .send = [this](const RelayAttempt &attempt) { send(attempt); },
+                             .sendAttempt = [this](const RelayAttempt &attempt) { send(attempt); },
                              .abortAttempt = [this] { abortAttempt(); },
-                             .copy = [this](const RelayTarget &source, const RelayTarget &destination, bool stop) { copy(source, destination, stop); },
+                             .startCopy = [this](const RelayTarget &source, const RelayTarget &destination, bool stop) { copy(source, destination, stop); },
                              .beginResponse = [this](std::optional<uint64_t> length) { beginResponse(length); },
                              .write =
                                  [this](std::string_view bytes) {
@@ -159,8 +159,8 @@
                                      }
                                  },
                              .finishResponse = [this] { finishResponse(); },
-                             .answer = [this](RelayOutcome outcome, std::chrono::milliseconds retryAfter) { answer(outcome, retryAfter); },
-                             .cut = [this](RelayOutcome outcome) { cut(outcome); },
+                             .respond = [this](RelayOutcome outcome, std::chrono::milliseconds retryAfter) { answer(outcome, retryAfter); },
+                             .cutResponse = [this](RelayOutcome outcome) { cut(outcome); },
                              .record = [this](std::string_view decision, std::string_view reason) { record(decision, reason); }});
 }
 
--- a/Libraries/LibRelayServer/RelayTables.cpp
+++ b/Libraries/LibRelayServer/RelayTables.cpp
@@ -103,8 +103,8 @@
     if (matches(m_core.adapter.documentTable) && m_documents->hasRows()) {
         channel.send({.status = StatusOk}, encodeSnapshot(m_documents->snapshot()));
     } else if (target == TargetsPath && m_core.targets.size() > 0) {
-        const PeerHeartbeat heartbeatMessage {.node = m_core.options.node, .targetsVersion = m_targets->version(), .targets = m_core.targets.allEntries()};
-        channel.send({.status = StatusOk}, encodePeerHeartbeat(heartbeatMessage, MaxPeerResponseBytes));
+        const PeerHeartbeat heartbeat {.node = m_core.options.node, .targetsVersion = m_targets->version(), .targets = m_core.targets.allEntries()};
+        channel.send({.status = StatusOk}, encodePeerHeartbeat(heartbeat, MaxPeerResponseBytes));
     } else {
         channel.send({.status = StatusNotFound}, {});
     }
@@ -118,12 +118,12 @@
     }
     const Peer *best = nullptr;
     for (const auto *peer : m_core.peers.livePeers(now)) {
-        if (!best || peer->heartbeatMessage.targetsVersion > best->heartbeatMessage.targetsVersion) {
+        if (!best || peer->latestHeartbeat.targetsVersion > best->latestHeartbeat.targetsVersion) {
             best = peer;
         }
     }
-    if (best && best->heartbeatMessage.targetsDigest != m_core.targets.digest()) {
-        requestTargetsFromPeer(best->heartbeatMessage);
+    if (best && best->latestHeartbeat.targetsDigest != m_core.targets.digest()) {
+        requestTargetsFromPeer(best->latestHeartbeat);
     }
 }
 
@@ -144,46 +144,46 @@
     });
 }
 
-void Relay::onPeerDocument(const PeerHeartbeat &heartbeatMessage)
+void Relay::onPeerDocument(const PeerHeartbeat &heartbeat)
 {
-    if (heartbeatMessage.documentTableVersion > m_documents->changeVersion()) {
-        requestDocumentFromPeer(*m_documents, m_core.adapter.documentTable, heartbeatMessage.peers);
+    if (heartbeat.documentTableVersion > m_documents->changeVersion()) {
+        requestDocumentFromPeer(*m_documents, m_core.adapter.documentTable, heartbeat.peers);
     }
 }
 
-void Relay::onPeerTargets(const PeerHeartbeat &heartbeatMessage, MonotonicTime now)
+void Relay::onPeerTargets(const PeerHeartbeat &heartbeat, MonotonicTime now)
 {
-    for (const auto &entry : heartbeatMessage.targets) {
+    for (const auto &entry : heartbeat.targets) {
         applyTarget(entry, TargetTable::Source::Peer, now);
     }
-    if (heartbeatMessage.targetsDigest == m_core.targets.digest()) {
-        m_differsSince.reset();
+    if (heartbeat.targetsDigest == m_core.targets.digest()) {
+        m_targetListDiffersSince.reset();
         if (m_targets->hasRows()) {
-            m_targets->noteCurrent(heartbeatMessage.targetsVersion, heartbeatMessage.targetsAge, now);
+            m_targets->noteCurrent(heartbeat.targetsVersion, heartbeat.targetsAge, now);
         }
         return;
     }
-    if (!heartbeatMessage.reading || heartbeatMessage.targetsVersion <= m_targets->version()) {
+    if (!heartbeat.reading || heartbeat.targetsVersion <= m_targets->version()) {
         return;
     }
     // Heartbeats repeat every change for a while. A difference that persists means that some changes were missed.
-    if (!m_differsSince) {
-        m_differsSince = now;
-    } else if (now - *m_differsSince >= MaxDifferenceTime) {
-        m_differsSince = now;
-        requestTargetsFromPeer(heartbeatMessage);
+    if (!m_targetListDiffersSince) {
+        m_targetListDiffersSince = now;
+    } else if (now - *m_targetListDiffersSince >= MaxDifferenceTime) {
+        m_targetListDiffersSince = now;
+        requestTargetsFromPeer(heartbeat);
     }
 }
 
-void Relay::requestTargetsFromPeer(const PeerHeartbeat &heartbeatMessage)
+void Relay::requestTargetsFromPeer(const PeerHeartbeat &heartbeat)
 {
-    const auto endpoint = Endpoint::parse(heartbeatMessage.peers);
-    if (!endpoint || m_isRequestingTargets || heartbeatMessage.targetsVersion == 0) {
+    const auto endpoint = Endpoint::parse(heartbeat.peers);
+    if (!endpoint || m_isRequestingTargets || heartbeat.targetsVersion == 0) {
         return;
     }
     m_isRequestingTargets = true;
     const LoopCall call {.target = std::string(TargetsPath), .timeout = PeerReadTimeout, .freshConnection = true};
-    m_core.client.call(*endpoint, call, [this, node = heartbeatMessage.node](const LoopAnswer &response) {
+    m_core.client.call(*endpoint, call, [this, node = heartbeat.node](const LoopAnswer &response) {
         m_isRequestingTargets = false;
         const auto peer = response.isSuccess() ? decodePeerHeartbeat(response.body) : std::nullopt;
         if (peer) {
@@ -207,8 +207,8 @@
 {
     std::vector<std::string> readers;
     for (const auto *peer : m_core.peers.livePeers(now)) {
-        if (peer->heartbeatMessage.trying) {
-            readers.push_back(peer->heartbeatMessage.node);
+        if (peer->latestHeartbeat.trying) {
+            readers.push_back(peer->latestHeartbeat.node);
         }
     }
     const bool wasReading = m_readers.isReading();
--- a/Tests/LibEnvironment/TestDocumentTracker.cpp
+++ b/Tests/LibEnvironment/TestDocumentTracker.cpp
@@ -89,12 +89,12 @@
     b.offer(makeOffer(1, "one"), Start);
     auto now = Start;
     for (int exchange = 0; exchange < 100; ++exchange) {
-        const auto ageOfA = a.confirmedAge(now);
+        const auto confirmedAgeAtTrackerA = a.confirmedAge(now);
         now += Delay;
-        b.peerVersionReceived(1, ageOfA, now);
-        const auto ageOfB = b.confirmedAge(now);
+        b.peerVersionReceived(1, confirmedAgeAtTrackerA, now);
+        const auto confirmedAgeAtTrackerB = b.confirmedAge(now);
         now += Delay;
-        a.peerVersionReceived(1, ageOfB, now);
+        a.peerVersionReceived(1, confirmedAgeAtTrackerB, now);
     }
     EXPECT_EQ(*a.confirmedAge(now), now - Start);
 }
--- a/Tests/LibRelay/SessionHarness.cpp
+++ b/Tests/LibRelay/SessionHarness.cpp
@@ -32,14 +32,14 @@
                                  },
                              .mayContinue = [this](const RelayTarget &target, MonotonicTime) { return !continuationExcluded.contains(target.id); },
                              .tryTakeRetry = [this](MonotonicTime) { return retriesLeft-- > 0; },
-                             .send = [this](const RelayAttempt &send) { attempts.push_back(send); },
+                             .sendAttempt = [this](const RelayAttempt &send) { attempts.push_back(send); },
                              .abortAttempt = [this] { ++aborts; },
-                             .copy = [this](const RelayTarget &, const RelayTarget &, bool stop) { copyOrders.push_back(stop); },
+                             .startCopy = [this](const RelayTarget &, const RelayTarget &, bool stop) { copyOrders.push_back(stop); },
                              .beginResponse = [this](std::optional<uint64_t>) { ++begun; },
                              .write = [this](std::string_view bytes) { received += bytes; },
                              .finishResponse = [this] { ++finished; },
-                             .answer = [this](RelayOutcome outcome, std::chrono::milliseconds) { ownResponses.push_back(outcome); },
-                             .cut = [this](RelayOutcome) { ++cuts; },
+                             .respond = [this](RelayOutcome outcome, std::chrono::milliseconds) { ownResponses.push_back(outcome); },
+                             .cutResponse = [this](RelayOutcome) { ++cuts; },
                              .record = [](std::string_view, std::string_view) {}});
 }
 
--- a/Tests/LibRelay/TestPeers.cpp
+++ b/Tests/LibRelay/TestPeers.cpp
@@ -274,7 +274,7 @@
     EXPECT_EQ(peers.recipients(PeerTable::RecipientScope::Region, Start), std::vector<std::string> {"near:81"});
     EXPECT_EQ(peers.recipients(PeerTable::RecipientScope::OutsideRegion, Start), std::vector<std::string> {"far:81"});
     ASSERT_EQ(peers.livePeersInRegion(Start).size(), 1U);
-    EXPECT_EQ(peers.livePeersInRegion(Start)[0]->heartbeatMessage.node, "near");
+    EXPECT_EQ(peers.livePeersInRegion(Start)[0]->latestHeartbeat.node, "near");
 }
 
 // Guards against a region without a representative after the former one is gone, or with two: the first live relay of the region by name is the representative.
@@ -376,7 +376,7 @@
     peers.handleHeartbeat(heartbeatMessage("a", 1), Start);
     EXPECT_EQ(peers.handleHeartbeat(loads, Start + 1s), PeerTable::Change::None);
     ASSERT_EQ(peers.livePeers(Start + 3s).size(), 1U);
-    EXPECT_FALSE(peers.livePeers(Start + 3s)[0]->heartbeatMessage.callers.empty());
+    EXPECT_FALSE(peers.livePeers(Start + 3s)[0]->latestHeartbeat.callers.empty());
     EXPECT_EQ(peers.handleHeartbeat(heartbeatMessage("a", 1), Start + 1s), PeerTable::Change::Stale);
     peers.expire(Start + 10s);
     auto late = loads;
--- a/Utilities/RelayBenchmark/RelayBenchmark.cpp
+++ b/Utilities/RelayBenchmark/RelayBenchmark.cpp
@@ -97,16 +97,16 @@
 void encodeHeartbeat(benchmark::State &state)
 {
     constexpr int Loads = 50;
-    PeerHeartbeat heartbeatMessage {.node = "edge-lahore-a-1", .callers = "10.1.0.19:8740", .peers = "10.1.0.19:8748", .dataCentre = "lahore-a"};
+    PeerHeartbeat heartbeat {.node = "edge-lahore-a-1", .callers = "10.1.0.19:8740", .peers = "10.1.0.19:8748", .dataCentre = "lahore-a"};
     for (int number = 0; number < Loads; ++number) {
-        heartbeatMessage.loads.push_back({.target = "i-4bd68e9f" + std::to_string(number), .running = number, .memory = 4000});
+        heartbeat.loads.push_back({.target = "i-4bd68e9f" + std::to_string(number), .running = number, .memory = 4000});
     }
     const auto targets = makeTargets(state.range(0));
     for (const auto &[id, target] : targets.targets()) {
-        heartbeatMessage.targets.push_back(target.entry);
+        heartbeat.targets.push_back(target.entry);
     }
     while (state.KeepRunning()) {
-        benchmark::DoNotOptimize(encodePeerHeartbeat(heartbeatMessage));
+        benchmark::DoNotOptimize(encodePeerHeartbeat(heartbeat));
     }
 }
 
